--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -4,8 +4,8 @@
 import {GroupAction} from '../src/coordination/groups/group_action';
 import {GroupPlanInput} from '../src/coordination/groups/group_plan_input';
 import {hostLoss} from '../src/coordination/groups/host_loss';
-import {listDemands} from '../src/coordination/groups/list_demands';
-import {PlanContext} from '../src/coordination/groups/plan_context';
+import {listReplicaDemands} from '../src/coordination/groups/list_replica_demands';
+import {GroupPlanContext} from '../src/coordination/groups/group_plan_context';
 import {planFormation} from '../src/coordination/groups/plan_formation';
 import {Group} from '../src/protocol/group';
 import {RepairPolicy} from './virtual_fleet';
@@ -14,7 +14,7 @@
 type Repair = (
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ) => GroupAction | undefined;
 
 /** Replaces a lost member by any spare at once; without one, moves to another domain. */
@@ -31,7 +31,8 @@
       .filter(domain => domain !== group.domain)
       .some(
         domain =>
-          context.free.count({...group, domain}) >= group.members.length,
+          context.free.countMatching({...group, domain}) >=
+          group.members.length,
       );
     const {id: groupId, epoch} = group;
     return canMove
@@ -41,7 +42,7 @@
   'wait for return': createPolicy((group, lost, context) => {
     const isBack = lost.every(member => {
       const host = context.hosts.get(member.hostId);
-      return host !== undefined && hostLoss.isHeard(host, context.input.now);
+      return host !== undefined && hostLoss.isAlive(host, context.input.now);
     });
     return isBack ? replace(group, lost, context) : undefined;
   }),
@@ -50,9 +51,12 @@
 function replace(
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction | undefined {
-  const spares = context.free.take({...group, groupId: group.id}, lost.length);
+  const spares = context.free.allocate(
+    {...group, groupId: group.id},
+    lost.length,
+  );
   const kept = group.members.filter(member => !lost.includes(member));
   const members = [...kept, ...(spares ?? []).map(createMember)];
   const next = {...group, epoch: group.epoch + 1, members};
@@ -62,14 +66,14 @@
 function createPolicy(repair: Repair): RepairPolicy {
   const plan = (input: GroupPlanInput) => {
     const hosts = new Map(input.hosts.map(host => [host.report.hostId, host]));
-    const demands = listDemands(input.bundle);
+    const demands = listReplicaDemands(input.bundle);
     const free = FreeHosts.create(input);
-    const context: PlanContext = {
+    const context: GroupPlanContext = {
       input,
       hosts,
       free,
       demands,
-      brokenIds: new Set(),
+      brokenGroupIds: new Set(),
     };
     const repairs = input.groups.flatMap(group => {
       const lost = group.members.filter(member =>
--- a/src/control/control_links.ts
+++ b/src/control/control_connections.ts
@@ -35,7 +35,7 @@
 }
 
 /** Keeps one outgoing connection to every other control process. */
-export class ControlLinks {
+export class ControlConnections {
   private readonly links = new Map<string, Link>();
   private readonly addresses = new Map<string, string>();
   /** When a process last answered, by identity. */
@@ -53,8 +53,8 @@
    * @example
    * const links = ControlLinks.create({identity, addresses, clock, onMessage, onFailure});
    */
-  static create(options: ControlLinksOptions): ControlLinks {
-    const links = new ControlLinks(options);
+  static create(options: ControlLinksOptions): ControlConnections {
+    const links = new ControlConnections(options);
     for (const [name, address] of options.addresses) {
       links.add(name, address);
     }
--- a/src/control/control_log.ts
+++ b/src/control/control_event_log.ts
@@ -16,7 +16,7 @@
 }
 
 /** Writes lines under the identity of one process. */
-export class ControlLog {
+export class ControlEventLog {
   private readonly lines: ThrottledLines;
 
   private constructor(
@@ -33,8 +33,12 @@
    * @example
    * const log = ControlLog.create('control-a/1f0c', events, clock);
    */
-  static create(identity: string, events: EventRing, clock: Clock): ControlLog {
-    return new ControlLog(identity, events, clock);
+  static create(
+    identity: string,
+    events: EventRing,
+    clock: Clock,
+  ): ControlEventLog {
+    return new ControlEventLog(identity, events, clock);
   }
 
   record(type: string, reason: string): void {
@@ -42,7 +46,7 @@
   }
 
   /** What the disk knows of before: without it a quorum that does not come together cannot be explained. */
-  recordRecovered({log, snapshots}: ControlDisk): void {
+  recordRecoveredState({log, snapshots}: ControlDisk): void {
     const {term, votedFor = '', commitIndex, entries} = log.recovered;
     this.events.record({
       type: 'state-recovered',
@@ -61,7 +65,7 @@
   }
 
   /** A call that the leader itself did not carry out looks to its caller as if this process did not lead. */
-  recordRefusal({ask, reason, voters, raft}: RefusedCall): void {
+  recordRefusedCall({ask, reason, voters, raft}: RefusedCall): void {
     this.lines.record(`${ask} ${reason}`, {
       type: 'call-not-carried-out',
       subject: 'control',
@@ -93,7 +97,7 @@
   }
 
   /** What a message led to here; its sender only sees its connection end. */
-  recordFailure(from: string, error: Error): void {
+  recordMessageFailure(from: string, error: Error): void {
     this.lines.record('message', {
       type: 'message-failed',
       subject: 'control',
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -12,21 +12,21 @@
 import {ControlDisk} from '../state/control_disk';
 import {FrameConnection} from '../transport/frame_connection';
 import {FrameServer} from '../transport/frame_server';
-import {createCallHandlers} from './call_handlers';
+import {createCallHandlers} from './create_call_handlers';
 import {BackendRegistry} from './backend_registry';
 import {ChangeSignal} from './change_signal';
 import {ControlError} from './control_error';
-import {ControlLinks} from './control_links';
-import {ControlLog} from './control_log';
+import {ControlConnections} from './control_connections';
+import {ControlEventLog} from './control_event_log';
 import {ControlSettings} from './control_settings';
-import {createStatus} from './create_status';
+import {createFleetStatus} from './create_fleet_status';
 import {Fleet} from './fleet';
-import {EnginePlannerLoop} from './engine_planner_loop';
-import {GatewayDesk} from './gateway_desk';
-import {PlannerLoop} from './planner_loop';
+import {EngineGroupPlannerLoop} from './engine_group_planner_loop';
+import {GatewayService} from './gateway_service';
+import {HostGroupPlannerLoop} from './host_group_planner_loop';
 import {QuorumMember} from './quorum_member';
 import {RaftRuntime} from './raft_runtime';
-import {SuspectDesk} from './suspect_desk';
+import {SuspectService} from './suspect_service';
 
 type Handlers = ReturnType<typeof createCallHandlers>;
 type Reply = (message: Message) => void;
@@ -38,16 +38,16 @@
   /** Settles when the process must stop because its disk failed. */
   readonly failed: Promise<Error>;
   private fail: (error: Error) => void = () => undefined;
-  private readonly log: ControlLog;
+  private readonly log: ControlEventLog;
   private readonly fleet = Fleet.create();
   private readonly signal = ChangeSignal.create();
   private readonly incarnation = randomBytes(8).toString('hex');
   private server: FrameServer | undefined;
-  private links: ControlLinks | undefined;
+  private links: ControlConnections | undefined;
   private member: QuorumMember | undefined;
-  private enginePlanner: EnginePlannerLoop | undefined;
+  private enginePlanner: EngineGroupPlannerLoop | undefined;
   private readonly registry: BackendRegistry;
-  private planner: PlannerLoop | undefined;
+  private planner: HostGroupPlannerLoop | undefined;
   private handlers: Handlers | undefined;
 
   private constructor(
@@ -55,7 +55,7 @@
     private readonly disk: ControlDisk,
   ) {
     this.failed = new Promise(resolve => (this.fail = resolve));
-    this.log = ControlLog.create(disk.identity, this.events, systemClock);
+    this.log = ControlEventLog.create(disk.identity, this.events, systemClock);
     this.registry = BackendRegistry.create(
       settings.pools?.heartbeatMs,
       ({registration: {incarnation, address, sequence}, holder}) =>
@@ -101,7 +101,7 @@
   /** Addresses at which the leader may be found, the likeliest first. */
   listControlAddresses(): string[] {
     const leader = this.runtime?.raft.leader;
-    const voters = Object.keys(this.member?.keeper.listVoters() ?? {});
+    const voters = Object.keys(this.member?.manager.listVoters() ?? {});
     const seeds = this.settings.seeded?.seeds ?? [];
     const known = leader ? [splitIdentity(leader).name] : [];
     return [...new Set([...known, ...voters, ...seeds])];
@@ -109,12 +109,12 @@
 
   /** Takes other places to find control processes at, as the settings changed. */
   addSeeds(seeds: readonly string[]): void {
-    this.member?.keeper.addSeeds(seeds);
+    this.member?.manager.addSeeds(seeds);
   }
 
   /** True while this process may answer for the whole system. */
   get isLeading(): boolean {
-    return this.runtime?.canAnswer() ?? false;
+    return this.runtime?.canServe() ?? false;
   }
 
   /** Stops without waiting for anything but the disk. */
@@ -129,7 +129,7 @@
 
   private async start(): Promise<void> {
     const {settings, disk} = this;
-    this.log.recordRecovered(disk);
+    this.log.recordRecoveredState(disk);
     const cut = disk.log.recovered.cutBytes;
     if (cut > 0) {
       this.record(
@@ -144,7 +144,7 @@
       onConnection: connection =>
         void this.acceptPeer(connection).catch(() => undefined),
     });
-    this.links = ControlLinks.create({
+    this.links = ControlConnections.create({
       identity: this.identity,
       addresses: settings.seeded
         ? new Map(listOtherSeeds(settings).map(seed => [seed, seed]))
@@ -152,7 +152,7 @@
       clock: systemClock,
       security: settings.security,
       onMessage: (from, message, reply) => this.receive(from, message, reply),
-      onFailure: (from, error) => this.log.recordFailure(from, error),
+      onFailure: (from, error) => this.log.recordMessageFailure(from, error),
     });
     this.member = QuorumMember.create({
       settings,
@@ -194,7 +194,7 @@
     void peer.messages
       .observe(message => this.receive(peer.remote.id, message, reply))
       .catch((error: Error) => {
-        this.log.recordFailure(peer.remote.id, error);
+        this.log.recordMessageFailure(peer.remote.id, error);
         peer.close();
       });
   }
@@ -219,7 +219,7 @@
       ? this.listControlAddresses()
       : undefined;
     const refuse = () => reply({type: 'not-leader', call: ask.call, control});
-    if (!runtime?.canAnswer() || !handlers?.[ask.type]) {
+    if (!runtime?.canServe() || !handlers?.[ask.type]) {
       if (runtime?.raft.role === 'leader') {
         this.recordRefusal(
           ask.type,
@@ -232,7 +232,7 @@
     try {
       const answer = await handlers[ask.type](ask as never);
       // Between the question and the answer this process may have been frozen.
-      if (runtime.canAnswer()) {
+      if (runtime.canServe()) {
         reply(answer);
       } else {
         this.recordRefusal(
@@ -251,8 +251,8 @@
   }
 
   private recordRefusal(ask: string, reason: string): void {
-    const voters = Object.keys(this.member?.keeper.listVoters() ?? {});
-    this.log.recordRefusal({ask, reason, voters, raft: this.runtime?.raft});
+    const voters = Object.keys(this.member?.manager.listVoters() ?? {});
+    this.log.recordRefusedCall({ask, reason, voters, raft: this.runtime?.raft});
   }
 
   /** Sets up what the leader does, beside the agreement. */
@@ -263,9 +263,13 @@
       this.registry.clear();
       this.record(`became-${role}`, reason);
     });
-    const planner = PlannerLoop.create({runtime, fleet, clock: systemClock});
+    const planner = HostGroupPlannerLoop.create({
+      runtime,
+      fleet,
+      clock: systemClock,
+    });
     this.planner = planner;
-    const desk = GatewayDesk.create({
+    const desk = GatewayService.create({
       settings,
       runtime,
       registry: this.registry,
@@ -275,7 +279,7 @@
       identity: disk.identity,
     });
     if (settings.pools) {
-      this.enginePlanner = EnginePlannerLoop.create({
+      this.enginePlanner = EngineGroupPlannerLoop.create({
         duties: settings.pools,
         runtime,
         registry: this.registry,
@@ -286,7 +290,7 @@
     }
     this.handlers = createCallHandlers({
       desk,
-      suspects: SuspectDesk.create({
+      suspects: SuspectService.create({
         runtime,
         events: this.events,
         registry: this.registry,
@@ -300,7 +304,7 @@
       leaseMs: settings.leaseMs,
       findStandby: hostId => planner.findStandby(hostId),
       createStatus: () =>
-        createStatus({
+        createFleetStatus({
           identity: disk.identity,
           runtime,
           fleet,
--- a/src/control/engine_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -3,11 +3,11 @@
 import {EventRing} from '../common/event_ring';
 import {BackendView} from '../coordination/groups/backend_view';
 import {countByDomain} from '../coordination/groups/count_by_domain';
-import {DemandFollower} from '../coordination/groups/demand_follower';
+import {ShareAdjuster} from '../coordination/groups/share_adjuster';
 import {EngineAction} from '../coordination/groups/engine_action';
 import {EnginePlanInput} from '../coordination/groups/engine_plan_input';
 import {planEngineGroups} from '../coordination/groups/plan_engine_groups';
-import {splitHosts} from '../coordination/groups/split_hosts';
+import {createEnginePlanInput} from '../coordination/groups/create_engine_plan_input';
 import {ControlCommand} from '../protocol/control_command';
 import {EngineGroup} from '../protocol/engine_group';
 import {listMemberNames} from '../protocol/list_member_names';
@@ -15,8 +15,8 @@
 import {BackendHealth} from './backend_health';
 import {BackendRegistry} from './backend_registry';
 import {ControlSettings} from './control_settings';
-import {GatewayDesk} from './gateway_desk';
-import {HeadRelease} from './head_release';
+import {GatewayService} from './gateway_service';
+import {HeadStopDetector} from './head_stop_detector';
 import {OrderDispatcher} from './order_dispatcher';
 import {RaftRuntime} from './raft_runtime';
 
@@ -39,21 +39,21 @@
   readonly duties: NonNullable<ControlSettings['pools']>;
   readonly runtime: RaftRuntime;
   readonly registry: BackendRegistry;
-  readonly desk: GatewayDesk;
+  readonly desk: GatewayService;
   readonly clock: Clock;
   readonly events: EventRing;
 }
 
 /** Plans while this process leads. */
-export class EnginePlannerLoop {
+export class EngineGroupPlannerLoop {
   private readonly timer: NodeJS.Timeout;
   private readonly health: BackendHealth;
-  private readonly release: HeadRelease;
+  private readonly release: HeadStopDetector;
   private readonly orders: OrderDispatcher;
   /** When hosts were last moved: they are not moved again at once. */
   private rebalancedAt = -Infinity;
   /** How the hosts of each pool are split among its models. */
-  private readonly followers = new Map<string, DemandFollower>();
+  private readonly followers = new Map<string, ShareAdjuster>();
   private plannedTerm = -1;
   private isCommitting = false;
 
@@ -66,7 +66,7 @@
       desk,
       events,
     });
-    this.release = HeadRelease.create(registry, duties.stallMs);
+    this.release = HeadStopDetector.create(registry, duties.stallMs);
     this.orders = OrderDispatcher.create(options);
     this.timer = setInterval(() => void this.run(), PLAN_EVERY_MS);
   }
@@ -77,8 +77,8 @@
    * @example
    * const planner = EnginePlannerLoop.create({duties, runtime, registry, desk, clock, events});
    */
-  static create(options: EnginePlannerOptions): EnginePlannerLoop {
-    return new EnginePlannerLoop(options);
+  static create(options: EnginePlannerOptions): EngineGroupPlannerLoop {
+    return new EngineGroupPlannerLoop(options);
   }
 
   close(): void {
@@ -91,7 +91,7 @@
     this.release.refresh(runtime.state.engines.list(), now);
     const listenMs = duties.heartbeatMs * LISTEN_INTERVALS;
     const isListening = now - runtime.leadingSince < listenMs;
-    if (!runtime.canAnswer() || this.isCommitting || isListening) {
+    if (!runtime.canServe() || this.isCommitting || isListening) {
       return;
     }
     if (this.plannedTerm !== runtime.raft.term) {
@@ -168,11 +168,11 @@
   ): EnginePlanInput {
     const {desk, events} = this.options;
     const {pool} = configured;
-    const follower = this.followers.get(pool) ?? DemandFollower.create();
+    const follower = this.followers.get(pool) ?? ShareAdjuster.create();
     this.followers.set(pool, follower);
     const demand = desk.computeDemand();
-    const {input, shifted} = splitHosts({
-      follower,
+    const {input, shifted} = createEnginePlanInput({
+      adjuster: follower,
       input: configured,
       domains,
       demand,
@@ -245,7 +245,7 @@
   }
 }
 
-function isEmpty({registration, heldModel}: BackendView): boolean {
+function isEmpty({registration, loadedModel: heldModel}: BackendView): boolean {
   return heldModel === undefined && registration.stagedModels.length === 0;
 }
 
--- a/src/control/quorum_keeper.ts
+++ b/src/control/quorum_manager.ts
@@ -9,9 +9,9 @@
 import {MessageOf} from '../protocol/message_of';
 import {splitIdentity} from '../protocol/split_identity';
 import {ControlDisk} from '../state/control_disk';
-import {ControlLinks} from './control_links';
+import {ControlConnections} from './control_connections';
 import {ControlSettings} from './control_settings';
-import {formQuorum} from './form_quorum';
+import {decideInitialVoters} from './decide_initial_voters';
 import {RaftRuntime} from './raft_runtime';
 
 const FORMATION_EVERY_MS = 100;
@@ -28,7 +28,7 @@
   readonly settings: ControlSettings;
   readonly disk: ControlDisk;
   readonly links: Pick<
-    ControlLinks,
+    ControlConnections,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
   >;
   readonly clock: Clock;
@@ -41,7 +41,7 @@
 }
 
 /** Forms, joins and changes the quorum. */
-export class QuorumKeeper {
+export class QuorumManager {
   private readonly answers = new Map<string, Answer>();
   /** When a process last asked, by identity. */
   private readonly askedAt = new Map<string, number>();
@@ -62,8 +62,8 @@
    * @example
    * const keeper = QuorumKeeper.create({settings, disk, links, clock, findRuntime, onQuorum});
    */
-  static create(options: QuorumKeeperOptions): QuorumKeeper {
-    return new QuorumKeeper(options);
+  static create(options: QuorumKeeperOptions): QuorumManager {
+    return new QuorumManager(options);
   }
 
   /** Only committed voters: a change that is merely proposed may still fail. */
@@ -132,7 +132,11 @@
     for (const identity of links.listIdentities()) {
       links.send(identity, {type: 'formation-ask', identity: disk.identity});
     }
-    const voters = formQuorum(disk.identity, this.listFounders(), this.answers);
+    const voters = decideInitialVoters(
+      disk.identity,
+      this.listFounders(),
+      this.answers,
+    );
     if (!voters) {
       return;
     }
@@ -175,7 +179,7 @@
   private async changeVoters(): Promise<void> {
     const {links, settings, findRuntime, clock} = this.options;
     const runtime = findRuntime();
-    if (!runtime?.canAnswer() || runtime.raft.isChangingVoters) {
+    if (!runtime?.canServe() || runtime.raft.isChangingVoters) {
       return;
     }
     const now = clock.now();
--- a/src/control/raft_runtime.ts
+++ b/src/control/raft_runtime.ts
@@ -101,7 +101,7 @@
       term,
       votedFor,
       commitIndex: snapshot.index,
-      knownCommitted: commitIndex,
+      knownCommitIndex: commitIndex,
       timing,
       random,
       readSnapshot: () => disk.snapshots.current?.state ?? new Uint8Array(),
@@ -152,7 +152,7 @@
    * term, and a quorum confirmed it so lately that no other can lead. Ask right
    * before an answer leaves.
    */
-  canAnswer(): boolean {
+  canServe(): boolean {
     const {clock, leaseClock} = this.options;
     // A leader that was suspended would hold a lease by a round from before.
     const trustedSince = leaseClock?.pausedAt;
@@ -233,13 +233,13 @@
       });
       void this.drainDisk();
     }
-    effects.committed.forEach(entry => this.apply(entry));
+    effects.committedEntries.forEach(entry => this.apply(entry));
     if (effects.change) {
       this.handleChange(effects.change);
     }
   }
 
-  private apply(entry: RaftEffects['committed'][number]): void {
+  private apply(entry: RaftEffects['committedEntries'][number]): void {
     const before = this.tables.changeCount;
     const result = this.tables.apply(entry);
     if (this.tables.changeCount !== before) {
--- a/src/control/limit_desk.ts
+++ b/src/control/rate_limit_service.ts
@@ -2,7 +2,7 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {LimitLines} from '../common/limit_lines';
-import {NamedLimits} from '../coordination/limits/named_limits';
+import {AdvertisedLimits} from '../coordination/limits/advertised_limits';
 import {PermitIssuer} from '../coordination/limits/permit_issuer';
 import {permitTiming} from '../coordination/limits/permit_timing';
 import {ControlMessage} from '../protocol/control_message';
@@ -29,12 +29,12 @@
   readonly events: EventRing;
   readonly leaderName: string;
   /** Wakes the gateways that wait for news. */
-  readonly announce: () => void;
+  readonly notify: () => void;
 }
 
 /** Never replicated: gateways tell a new leader what they hold. */
-export class LimitDesk {
-  private readonly limits = NamedLimits.create();
+export class RateLimitService {
+  private readonly limits = AdvertisedLimits.create();
   private readonly issuers = new Map<string, PermitIssuer>();
   /** Backend servers whose limit changed, oldest first. */
   private changes: string[] = [];
@@ -55,8 +55,8 @@
    * @example
    * const desk = LimitDesk.create({runtime, registry, clock, events, leaderName, announce});
    */
-  static create(options: LimitDeskOptions): LimitDesk {
-    return new LimitDesk(options);
+  static create(options: LimitDeskOptions): RateLimitService {
+    return new RateLimitService(options);
   }
 
   /** Names the table as it is now; a gateway that holds this one needs nothing. */
@@ -66,7 +66,7 @@
   }
 
   /** What a gateway needs that holds the table with this tag. */
-  describeSince(tag: string): LimitWord[] {
+  listChangesSince(tag: string): LimitWord[] {
     const now = this.options.clock.now();
     const era = this.readTag().slice(0, -String(this.count).length);
     const missed = this.count - Number(tag.slice(era.length));
@@ -79,7 +79,7 @@
   }
 
   /** Takes what a gateway heard, or was told by the leader before. */
-  recordWords(gatewayId: string, words: readonly LimitWord[]): void {
+  recordReports(gatewayId: string, words: readonly LimitWord[]): void {
     this.follow();
     words.forEach(word => this.recordWord(gatewayId, word));
   }
@@ -88,7 +88,7 @@
     'permit-ask': (ask: Ask<'permit-ask'>): ControlMessage => {
       const {call, gatewayId, limit} = ask;
       const {clock} = this.options;
-      this.recordWords(gatewayId, [limit]);
+      this.recordReports(gatewayId, [limit]);
       const {incarnation} = limit;
       const known = this.limits.find(incarnation);
       if (!known) {
@@ -96,21 +96,21 @@
       }
       const now = clock.now();
       const issuer = this.findIssuer(incarnation, known.perSecond, now);
-      const {isGranted, ...pace} = issuer.ask(gatewayId, now);
+      const {isGranted, ...pace} = issuer.acquire(gatewayId, now);
       const kind = isGranted ? 'granted' : 'later';
       return {type: 'permit-answer', call, verdict: {kind, ...pace}};
     },
   };
 
   private recordWord(gatewayId: string, word: LimitWord): void {
-    const {clock, announce} = this.options;
+    const {clock, notify: announce} = this.options;
     const {incarnation, perSecond, msAgo} = word;
     const at = clock.now() - msAgo;
     const before = this.limits.find(incarnation)?.perSecond;
     const isNews =
       perSecond === null
-        ? this.limits.end(incarnation, at)
-        : this.limits.add(incarnation, perSecond, at);
+        ? this.limits.recordNoLimit(incarnation, at)
+        : this.limits.recordLimit(incarnation, perSecond, at);
     if (!isNews) {
       return;
     }
--- a/src/coordination/agreement/raft_effects.ts
+++ b/src/coordination/agreement/raft_effects.ts
@@ -26,7 +26,7 @@
   /** Must not leave before `persist` is on disk. */
   readonly messagesAfterPersist: readonly Outgoing[];
   /** Entries that are committed now, in order. */
-  readonly committed: readonly LogEntry[];
+  readonly committedEntries: readonly LogEntry[];
   /** A snapshot from the leader, to be installed before anything else. */
   readonly install?: {
     readonly index: number;
--- a/src/coordination/agreement/raft_replication.ts
+++ b/src/coordination/agreement/raft_replication.ts
@@ -3,7 +3,7 @@
 import {LogEntry} from '../../protocol/log_entry';
 import {MessageOf} from '../../protocol/message_of';
 import {RaftMessage} from '../../protocol/raft_message';
-import {computeEntryBytes} from './compute_entry_bytes';
+import {estimateEntryBytes} from './estimate_entry_bytes';
 import {hasQuorum} from './has_quorum';
 import {RaftProgress} from './raft_progress';
 import {RaftState} from './raft_state';
@@ -287,7 +287,7 @@
 function takeFitting(entries: readonly LogEntry[]): LogEntry[] {
   let bytes = 0;
   return entries.filter((entry, at) => {
-    bytes += computeEntryBytes(entry);
+    bytes += estimateEntryBytes(entry);
     return at === 0 || bytes <= MAX_BYTES_PER_MESSAGE;
   });
 }
--- a/src/coordination/agreement/raft_state.ts
+++ b/src/coordination/agreement/raft_state.ts
@@ -16,7 +16,7 @@
   persist?: RaftEffects['persist'];
   messages: Outgoing[];
   messagesAfterPersist: Outgoing[];
-  committed: LogEntry[];
+  committedEntries: LogEntry[];
   install?: RaftEffects['install'];
   change?: RaftEffects['change'];
 }
@@ -78,7 +78,7 @@
   get voterSets(): VoterSet[] {
     const committed = Math.max(
       this.commitIndex,
-      this.options.knownCommitted ?? 0,
+      this.options.knownCommitIndex ?? 0,
     );
     return this.log.listVoterSets(committed);
   }
@@ -151,7 +151,9 @@
       return;
     }
     const count = target - this.commitIndex;
-    this.effects.committed.push(...this.log.slice(this.commitIndex + 1, count));
+    this.effects.committedEntries.push(
+      ...this.log.slice(this.commitIndex + 1, count),
+    );
     this.commitIndex = target;
   }
 
@@ -199,5 +201,5 @@
 }
 
 function createEffects(): CollectedEffects {
-  return {messages: [], messagesAfterPersist: [], committed: []};
+  return {messages: [], messagesAfterPersist: [], committedEntries: []};
 }
--- a/src/coordination/groups/free_hosts.ts
+++ b/src/coordination/groups/free_hosts.ts
@@ -1,6 +1,6 @@
 /** Hosts that may join a group, given out one by one while a plan is made. */
 import {Group} from '../../protocol/group';
-import {computeProbation} from './compute_probation';
+import {computeQuarantineMs} from './compute_quarantine_ms';
 import {GroupPlanInput} from './group_plan_input';
 import {hostLoss} from './host_loss';
 import {HostView} from './host_view';
@@ -53,7 +53,7 @@
   }
 
   /** How many hosts fit. */
-  count(want: Want): number {
+  countMatching(want: Want): number {
     return this.list(want).length;
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Takes hosts out; undefined when there are too few. */
-  take(want: Want, count: number): HostView[] | undefined {
+  allocate(want: Want, count: number): HostView[] | undefined {
     const taken = this.list(want).slice(0, count);
     if (taken.length < count) {
       return undefined;
@@ -99,9 +99,9 @@
 
 function isUsable(host: HostView, now: number): boolean {
   const {backend, isLeaving, assignment} = host.report;
-  const isOnProbation = now - host.lostAt < computeProbation(host.losses);
+  const isOnProbation = now - host.lostAt < computeQuarantineMs(host.losses);
   return (
-    hostLoss.isHeard(host, now) &&
+    hostLoss.isAlive(host, now) &&
     backend !== null &&
     !isLeaving &&
     !host.isDrained &&
--- a/src/coordination/groups/engine_counts.ts
+++ b/src/coordination/groups/model_counts.ts
@@ -1,12 +1,12 @@
 /** How many groups each model has, and which model lacks hosts most. */
 import {EngineProfile} from '../../protocol/engine_profile';
 import {EnginePlanInput} from './engine_plan_input';
-import {isHeldBySilentHead} from './is_held_by_silent_head';
+import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 
 type Model = EngineProfile['models'][number];
 
 /** Counts that follow while one plan is made. */
-export class EngineCounts {
+export class ModelCounts {
   private constructor(
     private readonly groups: Map<string, number>,
     private readonly spares: Map<string, number>,
@@ -19,10 +19,10 @@
    * @example
    * const counts = EngineCounts.create(input);
    */
-  static create(input: EnginePlanInput): EngineCounts {
-    const counts = new EngineCounts(new Map(), new Map());
+  static create(input: EnginePlanInput): ModelCounts {
+    const counts = new ModelCounts(new Map(), new Map());
     input.groups
-      .filter(group => !isHeldBySilentHead(group, input))
+      .filter(group => !isHeldByUnreachableHead(group, input))
       .forEach(({model}) => counts.addGroup(model));
     return counts;
   }
@@ -35,8 +35,10 @@
    * @example
    * const counts = EngineCounts.createOfAll(input);
    */
-  static createOfAll({groups}: Pick<EnginePlanInput, 'groups'>): EngineCounts {
-    const counts = new EngineCounts(new Map(), new Map());
+  static createWithHeld({
+    groups,
+  }: Pick<EnginePlanInput, 'groups'>): ModelCounts {
+    const counts = new ModelCounts(new Map(), new Map());
     groups.forEach(({model}) => counts.addGroup(model));
     return counts;
   }
@@ -55,13 +57,13 @@
   }
 
   /** Hosts in groups for the model's share of the work; the least is the neediest. */
-  computeRank({name, size, share}: Model): number {
+  computeHostsPerShare({name, size, share}: Model): number {
     const hosts = this.countGroups(name) * size;
     return hosts / Math.max(share, Number.EPSILON);
   }
 
   /** The same with the spares that have the model. */
-  computeSupply({name, size, share}: Model): number {
+  computeSupplyPerShare({name, size, share}: Model): number {
     const hosts = this.countGroups(name) * size + (this.spares.get(name) ?? 0);
     return hosts / Math.max(share, Number.EPSILON);
   }
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -4,11 +4,11 @@
 import {computeReadyMs} from './compute_ready_ms';
 import {computeSpares} from './compute_spares';
 import {EngineAction} from './engine_action';
-import {EngineCounts} from './engine_counts';
+import {ModelCounts} from './model_counts';
 import {EnginePlanInput} from './engine_plan_input';
 import {EngineReservation} from './engine_reservation';
 import {listFreeEngines} from './list_free_engines';
-import {isHeldBySilentHead} from './is_held_by_silent_head';
+import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 import {reserveEngines} from './reserve_engines';
 
 /** Between the domains of a group that spans several. */
@@ -58,7 +58,7 @@
 ): EngineFormation {
   const actions: EngineAction[] = [];
   let free = listFreeEngines(input);
-  const counts = EngineCounts.create(input);
+  const counts = ModelCounts.create(input);
   const names = new Set(input.groups.map(group => group.name));
   for (;;) {
     const reservations = listReservations(input, free, counts);
@@ -103,9 +103,9 @@
 function listReservations(
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): EngineReservation[] {
-  if (input.policy?.reserves === false) {
+  if (input.policy?.reservesHosts === false) {
     return [];
   }
   return input.profile.models.flatMap(model => {
@@ -118,7 +118,7 @@
 function isBelowUsual(
   {name}: Model,
   {usual}: EnginePlanInput,
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): boolean {
   return counts.countGroups(name) < (usual.get(name) ?? 0);
 }
@@ -127,13 +127,13 @@
 function listUnreserved(
   model: Model,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
   reservations: readonly EngineReservation[],
 ): BackendView[] {
-  const rank = counts.computeRank(model);
+  const rank = counts.computeHostsPerShare(model);
   const kept = new Set(
     reservations
-      .filter(({model: other}) => counts.computeRank(other) < rank)
+      .filter(({model: other}) => counts.computeHostsPerShare(other) < rank)
       .flatMap(({hosts}) => hosts),
   );
   return free.filter(host => !kept.has(host));
@@ -155,7 +155,7 @@
 function listOptions(
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
   reservations: readonly EngineReservation[],
   mayBeFar: boolean,
 ): Option[] {
@@ -175,7 +175,7 @@
   domain: string,
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): Option | undefined {
   const isLacking = isBelowUsual(model, input, counts);
   const hosts = free.filter(host => host.registration.domain === domain);
@@ -205,7 +205,7 @@
     hosts: chosen.map(({host}) => host),
     readyMs,
     needsLoad,
-    rank: counts.computeRank(model),
+    rank: counts.computeHostsPerShare(model),
     // At first the tightest fit, so that large gaps stay usable; later the domain that keeps most spares.
     slack: isFirstStart ? hosts.length : -hosts.length,
   };
@@ -219,16 +219,16 @@
   model: Model,
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): Option[] {
   const usual = input.usual.get(model.name) ?? 0;
   const isFarBelow = counts.countGroups(model.name) < usual * FAR_BELOW_SHARE;
   const warm = free.filter(host => computeReadyMs(host, model) < model.loadMs);
   // Hosts that are about to be free can often form a near one.
   const isOneLeaving = input.groups.some(
-    group => group.isEnding && !isHeldBySilentHead(group, input),
+    group => group.isEnding && !isHeldByUnreachableHead(group, input),
   );
-  const isLeftOut = input.policy?.formsFar === false;
+  const isLeftOut = input.policy?.formsCrossDomainGroups === false;
   if (isLeftOut || !isFarBelow || isOneLeaving || warm.length < model.size) {
     return [];
   }
@@ -243,7 +243,7 @@
       hosts,
       readyMs: Math.max(...hosts.map(host => computeReadyMs(host, model))),
       needsLoad: false,
-      rank: counts.computeRank(model),
+      rank: counts.computeHostsPerShare(model),
       slack: 0,
     },
   ];
--- a/src/coordination/groups/plan_formation.ts
+++ b/src/coordination/groups/plan_formation.ts
@@ -2,7 +2,7 @@
 import {Group} from '../../protocol/group';
 import {createMember} from './create_member';
 import {GroupAction} from './group_action';
-import {PlanContext} from './plan_context';
+import {GroupPlanContext} from './group_plan_context';
 import {ReplicaDemand} from './replica_demand';
 
 /**
@@ -13,7 +13,7 @@
  */
 export function planFormation(
   demand: ReplicaDemand,
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction[] {
   const {input, free} = context;
   const standing = input.groups.filter(
@@ -29,7 +29,7 @@
     const taken =
       domain === undefined
         ? undefined
-        : free.take({...demand, domain}, demand.hostsPerReplica);
+        : free.allocate({...demand, domain}, demand.hostsPerReplica);
     if (domain === undefined || !taken) {
       break;
     }
@@ -57,11 +57,11 @@
 /** The domain with the fewest hosts that still has enough, so that large gaps stay usable. */
 function findDomain(
   demand: ReplicaDemand,
-  {free}: PlanContext,
+  {free}: GroupPlanContext,
 ): string | undefined {
   return free
     .listDomains()
-    .map(domain => ({domain, count: free.count({...demand, domain})}))
+    .map(domain => ({domain, count: free.countMatching({...demand, domain})}))
     .filter(({count}) => count >= demand.hostsPerReplica)
     .sort((left, right) => left.count - right.count)[0]?.domain;
 }
--- a/src/coordination/groups/plan_weights.ts
+++ b/src/coordination/groups/plan_preloads.ts
@@ -7,7 +7,7 @@
 import {EngineProfile} from '../../protocol/engine_profile';
 import {BackendView} from './backend_view';
 import {EngineAction} from './engine_action';
-import {EngineCounts} from './engine_counts';
+import {ModelCounts} from './model_counts';
 import {EnginePlanInput} from './engine_plan_input';
 import {EngineReservation} from './engine_reservation';
 import {listFreeEngines} from './list_free_engines';
@@ -23,7 +23,7 @@
  * @example
  * const orders = planWeights(input, taken, reservations);
  */
-export function planWeights(
+export function planPreloads(
   input: EnginePlanInput,
   taken: ReadonlySet<string> = new Set(),
   reservations: readonly EngineReservation[] = [],
@@ -55,9 +55,9 @@
 function countSupply(
   input: EnginePlanInput,
   free: readonly BackendView[],
-): EngineCounts {
-  const counts = EngineCounts.create(input);
-  for (const {registration, heldModel} of free) {
+): ModelCounts {
+  const counts = ModelCounts.create(input);
+  for (const {registration, loadedModel: heldModel} of free) {
     const model = heldModel ?? input.findLoading(registration.incarnation);
     if (model !== undefined) {
       counts.addSpare(model);
@@ -67,9 +67,10 @@
 }
 
 /** The model with the fewest hosts for its share of the work comes first. */
-function sortByNeed({profile}: EnginePlanInput, counts: EngineCounts): Model[] {
+function sortByNeed({profile}: EnginePlanInput, counts: ModelCounts): Model[] {
   return [...profile.models].sort(
-    (left, right) => counts.computeSupply(left) - counts.computeSupply(right),
+    (left, right) =>
+      counts.computeSupplyPerShare(left) - counts.computeSupplyPerShare(right),
   );
 }
 
@@ -77,11 +78,11 @@
 function planParkings(
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
   reservations: readonly EngineReservation[],
 ): EngineAction[] {
   const empty = free.filter(
-    ({registration, heldModel}) =>
+    ({registration, loadedModel: heldModel}) =>
       heldModel === undefined &&
       registration.group === undefined &&
       input.findLoading(registration.incarnation) === undefined,
@@ -132,7 +133,7 @@
 }
 
 function planSecondCopy(
-  {registration, heldModel}: BackendView,
+  {registration, loadedModel: heldModel}: BackendView,
   models: readonly Model[],
   {profile}: EnginePlanInput,
 ): EngineAction[] {
--- a/src/coordination/groups/plan_repair.ts
+++ b/src/coordination/groups/plan_repair.ts
@@ -4,7 +4,7 @@
 import {createMember} from './create_member';
 import {GroupAction} from './group_action';
 import {hostLoss} from './host_loss';
-import {PlanContext} from './plan_context';
+import {GroupPlanContext} from './group_plan_context';
 import {computeRepairCosts} from './compute_repair_costs';
 import {RepairOption} from './repair_option';
 import {ReplicaDemand} from './replica_demand';
@@ -17,7 +17,7 @@
 type Plan = (
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ) => GroupAction | undefined;
 
 /**
@@ -30,7 +30,7 @@
 export function planRepair(
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction | undefined {
   const demand = context.demands.find(
     wanted => wanted.kind === group.kind && wanted.name === group.name,
@@ -57,7 +57,7 @@
 const PLANS: Record<RepairOption['action'], Plan> = {
   wait: () => undefined,
   spare: (group, lost, context) => {
-    const spares = context.free.take(
+    const spares = context.free.allocate(
       {...group, groupId: group.id},
       lost.length,
     );
@@ -85,7 +85,7 @@
   group: Group,
   lost: readonly Member[],
   demand: ReplicaDemand,
-  context: PlanContext,
+  context: GroupPlanContext,
 ): BrokenGroup {
   const {input, hosts, free, demands} = context;
   const views = lost.map(member => hosts.get(member.hostId));
@@ -99,12 +99,12 @@
   const loadMs = demand.loadSeconds * MS_PER_SECOND;
   const hasLoadedSpares =
     free.countLoaded({...group, groupId: group.id}) >= lost.length;
-  const isRejoin = lost.every((_, at) => losses[at]?.hasForgotten);
+  const isRejoin = lost.every((_, at) => losses[at]?.hasRestarted);
   const rebuildWant = (domain: string) => ({...demand, domain});
   return {
     silentMs: Math.min(...losses.map(loss => loss?.silentMs ?? 0)),
-    hasForgotten: losses.some(loss => loss?.hasForgotten === true),
-    losses: Math.max(...views.map(view => view?.losses ?? 0)),
+    hasRestarted: losses.some(loss => loss?.hasRestarted === true),
+    recentLosses: Math.max(...views.map(view => view?.losses ?? 0)),
     size: group.members.length,
     survivors: group.members.length - lost.length,
     acceleratorsPerHost: Math.max(1, ...accelerators),
@@ -115,20 +115,23 @@
         : loadMs * computeQueue(lost.length, context) + REJOIN_MS,
     rebuildLoadMs:
       loadMs * computeQueue(group.members.length, context) + REJOIN_MS,
-    hasSpares: free.count({...group, groupId: group.id}) >= lost.length,
+    hasSpares: free.countMatching({...group, groupId: group.id}) >= lost.length,
     canRebuild: free
       .listDomains()
       .filter(domain => domain !== group.domain)
-      .some(domain => free.count(rebuildWant(domain)) >= group.members.length),
+      .some(
+        domain =>
+          free.countMatching(rebuildWant(domain)) >= group.members.length,
+      ),
     donorWorth:
       donor && demands.find(wanted => wanted.name === donor.name)?.worth,
-    hasUseForSurvivors: hasUseForSurvivors(group, context),
+    canReassignSurvivors: hasUseForSurvivors(group, context),
     weights: input.bundle.weights,
   };
 }
 
 /** How many times the loading time passes until this many more hosts have loaded. */
-function computeQueue(hosts: number, {input}: PlanContext): number {
+function computeQueue(hosts: number, {input}: GroupPlanContext): number {
   const {concurrentLoads} = input.bundle.weightStore;
   const loading = input.groups
     .filter(group => group.kind === 'model' && isStarting(group, input.hosts))
@@ -139,7 +142,7 @@
 /** Every member is well, but the group does not serve yet: it is loading. */
 function isStarting(
   group: Group,
-  hosts: PlanContext['input']['hosts'],
+  hosts: GroupPlanContext['input']['hosts'],
 ): boolean {
   const first = hosts.find(
     host => host.report.hostId === group.members[0].hostId,
@@ -150,7 +153,7 @@
 /** The group of lowest worth in the domain, if it is below this one's and nothing drains yet. */
 function findDonor(
   group: Group,
-  {input, demands, brokenIds}: PlanContext,
+  {input, demands, brokenGroupIds: brokenIds}: GroupPlanContext,
 ): Group | undefined {
   const findWorth = (candidate: Group) =>
     demands.find(
@@ -173,8 +176,8 @@
 }
 
 /** Another broken group of the domain could take them, or a replica is missing. */
-function hasUseForSurvivors(group: Group, context: PlanContext): boolean {
-  const {input, brokenIds, demands, free} = context;
+function hasUseForSurvivors(group: Group, context: GroupPlanContext): boolean {
+  const {input, brokenGroupIds: brokenIds, demands, free} = context;
   const isNeighbourBroken = input.groups.some(
     other =>
       other.id !== group.id &&
@@ -189,7 +192,9 @@
         other.id !== group.id,
     );
     const reachable =
-      free.count({...demand, domain: group.domain}) + group.members.length - 1;
+      free.countMatching({...demand, domain: group.domain}) +
+      group.members.length -
+      1;
     return (
       demand.kind === group.kind &&
       demand.name !== group.name &&
--- a/src/coordination/limits/named_limits.ts
+++ b/src/coordination/limits/advertised_limits.ts
@@ -14,11 +14,11 @@
   /** Requests a second from all gateways together. */
   readonly perSecond: number;
   /** When it was last named. */
-  readonly namedAt: number;
+  readonly advertisedAt: number;
 }
 
 /** Limits by incarnation of a backend server; all times are the caller's monotonic milliseconds. */
-export class NamedLimits {
+export class AdvertisedLimits {
   private readonly limits = new Map<string, NamedLimit>();
   private readonly endedAt = new Map<string, number>();
 
@@ -31,21 +31,21 @@
    * const limits = NamedLimits.create();
    * limits.add('i-7f3a91c2', 3.7, clock.now());
    */
-  static create(): NamedLimits {
-    return new NamedLimits();
+  static create(): AdvertisedLimits {
+    return new AdvertisedLimits();
   }
 
   /** Takes a limit that was named; tells whether it is another one than before. */
-  add(incarnation: string, perSecond: number, at: number): boolean {
+  recordLimit(incarnation: string, perSecond: number, at: number): boolean {
     const known = this.limits.get(incarnation);
     const isLate =
-      (known?.namedAt ?? -Infinity) > at ||
+      (known?.advertisedAt ?? -Infinity) > at ||
       (this.endedAt.get(incarnation) ?? -Infinity) > at;
     if (isLate) {
       return false;
     }
     this.endedAt.delete(incarnation);
-    this.limits.set(incarnation, {perSecond, namedAt: at});
+    this.limits.set(incarnation, {perSecond, advertisedAt: at});
     return known?.perSecond !== perSecond;
   }
 
@@ -54,9 +54,9 @@
    *
    * @param since when what it answered was sent: a limit that was named later stands
    */
-  end(incarnation: string, since: number): boolean {
+  recordNoLimit(incarnation: string, since: number): boolean {
     const known = this.limits.get(incarnation);
-    if (!known || known.namedAt >= since) {
+    if (!known || known.advertisedAt >= since) {
       return false;
     }
     this.limits.delete(incarnation);
@@ -78,7 +78,7 @@
   describe(incarnations: readonly string[], now: number): LimitWord[] {
     return incarnations.flatMap(incarnation => {
       const known = this.limits.get(incarnation);
-      const at = known?.namedAt ?? this.endedAt.get(incarnation);
+      const at = known?.advertisedAt ?? this.endedAt.get(incarnation);
       const perSecond = known?.perSecond ?? null;
       return at === undefined
         ? []
@@ -93,7 +93,7 @@
         this.endedAt.delete(incarnation);
       }
     }
-    for (const [incarnation, {namedAt}] of this.limits) {
+    for (const [incarnation, {advertisedAt: namedAt}] of this.limits) {
       if (now - namedAt > UNUSED_KEPT_MS && !isUsed(incarnation)) {
         this.limits.delete(incarnation);
       }
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -2,13 +2,13 @@
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
 import {HttpOrigins} from '../transport/http_origins';
-import {AnswerHead} from './answer_head';
-import {AttemptEnd} from './attempt_end';
+import {ResponseHead} from './response_head';
+import {AttemptOutcome} from './attempt_outcome';
 import {BackendSignals} from './backend_signals';
-import {CallerDialect} from './caller_dialect';
+import {HttpDialect} from './http_dialect';
 import {GatewayRequest} from './gateway_request';
 import {SendPermit} from './send_permit';
-import {TargetBoard} from './target_board';
+import {LoadBalancer} from './load_balancer';
 
 /** What an attempt needs. */
 interface AttemptOptions {
@@ -22,15 +22,15 @@
   readonly lastEventId?: string;
   readonly maxConnections: number;
   readonly origins: HttpOrigins;
-  readonly board: TargetBoard;
+  readonly balancer: LoadBalancer;
   readonly signals: BackendSignals;
-  readonly dialect: CallerDialect;
+  readonly dialect: HttpDialect;
   readonly clock: Clock;
   /** The head of an answer that is the backend server's own. */
-  readonly onHead: (head: AnswerHead) => void;
+  readonly onHead: (head: ResponseHead) => void;
   readonly onData: (chunk: Buffer) => void;
   /** Told once, as the last thing. */
-  readonly onEnd: (end: AttemptEnd) => void;
+  readonly onEnd: (end: AttemptOutcome) => void;
 }
 
 /** An attempt under way. */
@@ -38,18 +38,18 @@
   /** When it was sent or bytes last came, whichever is newer. */
   quietSince: number;
   private handle: ReturnType<HttpOrigins['call']> | undefined;
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
   private hasBytes = false;
   private isSent = false;
   private sentAt = -Infinity;
   private isEnded = false;
-  private readonly recordTaken: ReturnType<BackendSignals['begin']>;
+  private readonly recordTaken: ReturnType<BackendSignals['beginRequest']>;
   private isHeldBack = false;
 
   private constructor(private readonly options: AttemptOptions) {
     const {signals, target} = options;
     this.quietSince = options.clock.now();
-    this.recordTaken = signals.begin(target.incarnation);
+    this.recordTaken = signals.beginRequest(target.incarnation);
   }
 
   /**
@@ -80,7 +80,7 @@
 
   /** It waits for a connection to a backend server that control no longer tells, or that takes nothing now. */
   get isLeftBehind(): boolean {
-    const {board, target} = this.options;
+    const {balancer: board, target} = this.options;
     const isOpen = board.has(target.incarnation) && this.isWelcome;
     return this.isWaiting && !isOpen;
   }
@@ -92,7 +92,7 @@
     const isAllowed = permit
       ? !permit.hasExpired()
       : !signals.limits.isLimited(incarnation);
-    return isAllowed && signals.isWelcome(incarnation);
+    return isAllowed && signals.canSendTo(incarnation);
   }
 
   /** Gives up; the backend server sees its connection close. */
@@ -119,10 +119,17 @@
   }
 
   private send(): void {
-    const {request, body, target, dialect, origins, board} = this.options;
+    const {
+      request,
+      body,
+      target,
+      dialect,
+      origins,
+      balancer: board,
+    } = this.options;
     const {workspace, remainingMs, lastEventId, maxConnections} = this.options;
     const {incarnation, address} = target;
-    board.recordStart(incarnation, request.promptTokens);
+    board.recordRequestStart(incarnation, request.promptTokens);
     const headers = dialect.createHeaders(request, {
       incarnation,
       workspace,
@@ -141,7 +148,7 @@
       {
         onSent: () => this.handleSent(),
         onHead: (status, raw) =>
-          this.handleHead(dialect.readAnswer(status, raw)),
+          this.handleHead(dialect.readResponseHead(status, raw)),
         onData: chunk => this.handleData(chunk),
         onEnd: () => this.handleEnd(),
         onError: error => this.handleError(error),
@@ -159,22 +166,22 @@
     this.sentAt = this.options.clock.now();
   }
 
-  private handleHead(head: AnswerHead): void {
-    const {request, board, target, signals} = this.options;
+  private handleHead(head: ResponseHead): void {
+    const {request, balancer: board, target, signals} = this.options;
     if (this.isEnded) {
       return;
     }
     const isOwn = head.isNotRun || head.requestId === request.id;
-    if (isOwn && !head.isOtherIncarnation) {
+    if (isOwn && !head.isWrongIncarnation) {
       const {incarnation} = target;
       signals.recordHead({incarnation, head, sentAt: this.sentAt});
       this.recordTaken?.(!head.isNotRun && head.restMs === undefined);
     }
     // A head says nothing about progress: it may leave before any work begins.
-    if (head.isOtherIncarnation) {
-      board.drop(target.incarnation);
+    if (head.isWrongIncarnation) {
+      board.remove(target.incarnation);
     }
-    if (head.isNotRun || head.isOtherIncarnation) {
+    if (head.isNotRun || head.isWrongIncarnation) {
       this.head = head;
       return;
     }
@@ -192,15 +199,15 @@
   }
 
   private handleData(chunk: Buffer): void {
-    const {board, target, request, clock} = this.options;
+    const {balancer: board, target, request, clock} = this.options;
     if (this.isEnded || !this.isAnswer) {
       return;
     }
     this.quietSince = clock.now();
-    board.recordHeard(target.incarnation);
+    board.recordActivity(target.incarnation);
     if (!this.hasBytes) {
       this.hasBytes = true;
-      board.recordFirst(target.incarnation, request.promptTokens);
+      board.recordResponseStart(target.incarnation, request.promptTokens);
     }
     this.options.onData(chunk);
   }
@@ -216,7 +223,7 @@
   }
 
   private handleError(error: Error): void {
-    const {board, target} = this.options;
+    const {balancer: board, target} = this.options;
     if (error.name === 'NeverSent') {
       board.recordUnreachable(target.incarnation);
       this.finish({kind: 'not-run', reason: 'no connection was made'});
@@ -236,20 +243,20 @@
   /** False for an answer that says that nothing ran. */
   private get isAnswer(): boolean {
     const {head} = this;
-    return head !== undefined && !head.isNotRun && !head.isOtherIncarnation;
+    return head !== undefined && !head.isNotRun && !head.isWrongIncarnation;
   }
 
-  private finish(end: AttemptEnd): void {
+  private finish(end: AttemptOutcome): void {
     if (this.isEnded) {
       return;
     }
     this.isEnded = true;
     this.recordTaken?.(false);
-    const {board, target, request} = this.options;
+    const {balancer: board, target, request} = this.options;
     if (!this.hasBytes) {
-      board.recordFirst(target.incarnation, request.promptTokens);
+      board.recordResponseStart(target.incarnation, request.promptTokens);
     }
-    board.recordEnd(target.incarnation);
+    board.recordRequestEnd(target.incarnation);
     this.options.onEnd(end);
   }
 }
--- a/src/gateway/backend_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -2,8 +2,8 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {LimitLines} from '../common/limit_lines';
-import {NamedLimits} from '../coordination/limits/named_limits';
-import {PermitPacing} from '../coordination/limits/permit_pacing';
+import {AdvertisedLimits} from '../coordination/limits/advertised_limits';
+import {PermitRequestPacer} from '../coordination/limits/permit_request_pacer';
 import {permitTiming} from '../coordination/limits/permit_timing';
 import {LimitWord} from '../protocol/limit_word';
 import {PermitVerdict} from '../protocol/permit_verdict';
@@ -30,9 +30,9 @@
 const ALWAYS: SendPermit = {hasExpired: () => false};
 
 /** One for all requests of a gateway. */
-export class BackendLimits {
-  private readonly limits = NamedLimits.create();
-  private readonly pacings = new Map<string, PermitPacing>();
+export class BackendRateLimits {
+  private readonly limits = AdvertisedLimits.create();
+  private readonly pacings = new Map<string, PermitRequestPacer>();
   /** The last word on each backend server that a leader has, with that leader's name. */
   private readonly told = new Map<string, string>();
   private tag = '';
@@ -51,8 +51,8 @@
    * @example
    * const limits = BackendLimits.create({clock, leaseClock, events, askPermit, onNews});
    */
-  static create(options: BackendLimitsOptions): BackendLimits {
-    return new BackendLimits(options);
+  static create(options: BackendLimitsOptions): BackendRateLimits {
+    return new BackendRateLimits(options);
   }
 
   /** Takes the limit that an answer names, or that it names none. */
@@ -81,14 +81,14 @@
   }
 
   /** False while it is of no use to ask for a permit. */
-  isOpen(incarnation: string): boolean {
+  isAvailable(incarnation: string): boolean {
     const now = this.options.clock.now();
-    const canAsk = this.pacings.get(incarnation)?.canAsk(now) ?? true;
+    const canAsk = this.pacings.get(incarnation)?.canRequest(now) ?? true;
     return !this.isLimited(incarnation) || (canAsk && now >= this.silentUntil);
   }
 
   /** Asks for the right to send one request at once; undefined where it is denied. */
-  async askPermit(incarnation: string): Promise<SendPermit | undefined> {
+  async acquirePermit(incarnation: string): Promise<SendPermit | undefined> {
     const {clock, leaseClock, askPermit} = this.options;
     const [limit] = this.limits.describe([incarnation], clock.now());
     if (!limit || limit.perSecond === null) {
@@ -96,9 +96,9 @@
     }
     const pacing = this.findPacing(incarnation);
     const askedAt = leaseClock.now();
-    pacing.begin();
+    pacing.startRequest();
     const verdict = await askPermit(limit).catch(() => undefined);
-    pacing.settle(verdict, clock.now());
+    pacing.finishRequest(verdict, clock.now());
     if (!verdict) {
       this.silentUntil = clock.now() + SILENT_MS;
     }
@@ -120,14 +120,14 @@
    *
    * @returns milliseconds; Infinity where none of them has a limit
    */
-  takeReturnMs(incarnations: readonly string[]): number {
+  reserveRetryMs(incarnations: readonly string[]): number {
     const now = this.options.clock.now();
     const pacings = incarnations
       .filter(incarnation => this.isLimited(incarnation))
       .map(incarnation => this.findPacing(incarnation));
-    const times = pacings.map(pacing => pacing.computeReturnMs(now));
+    const times = pacings.map(pacing => pacing.computeRetryAfterMs(now));
     const inMs = Math.max(0, Math.min(Infinity, ...times));
-    pacings[times.indexOf(Math.min(...times))]?.recordReturn(inMs, now);
+    pacings[times.indexOf(Math.min(...times))]?.recordRetryAfter(inMs, now);
     return inMs;
   }
 
@@ -188,8 +188,8 @@
     const before = this.limits.find(incarnation);
     const isNews =
       perSecond === null
-        ? this.limits.end(incarnation, at)
-        : this.limits.add(incarnation, perSecond, at);
+        ? this.limits.recordNoLimit(incarnation, at)
+        : this.limits.recordLimit(incarnation, perSecond, at);
     if (!isNews) {
       return;
     }
@@ -197,7 +197,7 @@
     if (perSecond === null) {
       this.pacings.delete(incarnation);
     }
-    const saidAt = perSecond === null ? (before?.namedAt ?? at) : at;
+    const saidAt = perSecond === null ? (before?.advertisedAt ?? at) : at;
     this.lines.record({
       incarnation,
       perSecond,
@@ -207,8 +207,8 @@
     });
   }
 
-  private findPacing(incarnation: string): PermitPacing {
-    const pacing = this.pacings.get(incarnation) ?? PermitPacing.create();
+  private findPacing(incarnation: string): PermitRequestPacer {
+    const pacing = this.pacings.get(incarnation) ?? PermitRequestPacer.create();
     this.pacings.set(incarnation, pacing);
     return pacing;
   }
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -1,39 +1,39 @@
 /** What backend servers say of themselves in their answers, beside the answer. */
 import {ThrottledLines} from '../common/throttled_lines';
-import {AnswerHead} from './answer_head';
-import {BackendDepartures} from './backend_departures';
-import {BackendLimits} from './backend_limits';
-import {BackendRests} from './backend_rests';
+import {ResponseHead} from './response_head';
+import {BackendShutdowns} from './backend_shutdowns';
+import {BackendRateLimits} from './backend_rate_limits';
+import {BackendBackoffs} from './backend_backoffs';
 
 /** A head of an answer, and where it came from. */
 interface HeardHead {
   readonly incarnation: string;
   readonly head: Pick<
-    AnswerHead,
+    ResponseHead,
     'limitPerSecond' | 'restMs' | 'isLeaving' | 'isSealed' | 'unread'
   >;
   /** When the request was sent, on the gateway's clock. */
   readonly sentAt: number;
 }
 
-type BackendSignalsOptions = Parameters<typeof BackendLimits.create>[0] &
-  Parameters<typeof BackendRests.create>[0] &
-  Parameters<typeof BackendDepartures.create>[0];
+type BackendSignalsOptions = Parameters<typeof BackendRateLimits.create>[0] &
+  Parameters<typeof BackendBackoffs.create>[0] &
+  Parameters<typeof BackendShutdowns.create>[0];
 
 /** Names in one reason of a refusal. */
 const MAX_NAMED = 3;
 
 /** One for all requests of a gateway. */
 export class BackendSignals {
-  readonly limits: BackendLimits;
-  private readonly rests: BackendRests;
-  private readonly departures: BackendDepartures;
+  readonly limits: BackendRateLimits;
+  private readonly rests: BackendBackoffs;
+  private readonly departures: BackendShutdowns;
   private readonly lines: ThrottledLines;
 
   private constructor(options: BackendSignalsOptions) {
-    this.limits = BackendLimits.create(options);
-    this.rests = BackendRests.create(options);
-    this.departures = BackendDepartures.create(options);
+    this.limits = BackendRateLimits.create(options);
+    this.rests = BackendBackoffs.create(options);
+    this.departures = BackendShutdowns.create(options);
     this.lines = ThrottledLines.create(options.events, options.clock);
   }
 
@@ -66,16 +66,16 @@
   }
 
   /** What those who choose among backend servers have to know. */
-  readonly openness = {
-    isOpen: (incarnation: string) =>
+  readonly availability = {
+    isAvailable: (incarnation: string) =>
       !this.departures.has(incarnation) &&
-      this.limits.isOpen(incarnation) &&
-      this.rests.isOpen(incarnation),
+      this.limits.isAvailable(incarnation) &&
+      this.rests.isAvailable(incarnation),
     isLimited: (incarnation: string) => this.limits.isLimited(incarnation),
   };
 
   /** False for a backend server to which even what waits for a connection must not go. */
-  isWelcome(incarnation: string): boolean {
+  canSendTo(incarnation: string): boolean {
     const {rests, departures} = this;
     return !rests.isResting(incarnation) && !departures.has(incarnation);
   }
@@ -85,8 +85,8 @@
    *
    * @returns to be told once whether the backend server took it
    */
-  begin(incarnation: string): ((isTaken: boolean) => void) | undefined {
-    return this.rests.begin(incarnation);
+  beginRequest(incarnation: string): ((isTaken: boolean) => void) | undefined {
+    return this.rests.beginRequest(incarnation);
   }
 
   /**
@@ -95,20 +95,20 @@
    *
    * @returns milliseconds, Infinity where they keep nothing back; and whether there is no other place
    */
-  takeOpening(incarnations: readonly string[]) {
+  reserveRetry(incarnations: readonly string[]) {
     const rests = incarnations.flatMap(
-      incarnation => this.rests.findOpeningMs(incarnation) ?? [],
+      incarnation => this.rests.findAvailableInMs(incarnation) ?? [],
     );
-    const limitedMs = this.limits.takeReturnMs(incarnations);
+    const limitedMs = this.limits.reserveRetryMs(incarnations);
     return {
       inMs: Math.min(limitedMs, ...rests),
-      isOnlyWay:
+      isOnlyOption:
         incarnations.length > 0 &&
         incarnations.every(
           incarnation =>
             this.departures.has(incarnation) ||
             this.limits.isLimited(incarnation) ||
-            !this.rests.isOpen(incarnation),
+            !this.rests.isAvailable(incarnation),
         ),
     };
   }
@@ -125,12 +125,12 @@
   }
 
   /** Why none of these takes a request; undefined where none said anything. */
-  explainClosed(incarnations: readonly string[]): string | undefined {
+  explainUnavailable(incarnations: readonly string[]): string | undefined {
     const limited = incarnations.filter(incarnation =>
       this.limits.isLimited(incarnation),
     );
     const resting = incarnations.filter(
-      incarnation => !this.rests.isOpen(incarnation),
+      incarnation => !this.rests.isAvailable(incarnation),
     );
     const leaving = incarnations.filter(incarnation =>
       this.departures.has(incarnation),
--- a/src/gateway/rules_feed.ts
+++ b/src/gateway/control_poller.ts
@@ -8,7 +8,7 @@
 import {ModelDemand} from '../protocol/model_demand';
 import {SuspectNews} from '../protocol/suspect_news';
 import {rulesCodec} from '../protocol/rules_codec';
-import {BackendLimits} from './backend_limits';
+import {BackendRateLimits} from './backend_rate_limits';
 import {RouteIndex} from './route_index';
 
 /** Above the time for which control holds a question. */
@@ -51,14 +51,14 @@
   readonly readSuspectsVersion: () => number;
   readonly onSuspects: (news: SuspectNews) => void;
   /** Limits of backend servers, which gateways tell each other through control. */
-  readonly limits: Pick<BackendLimits, 'describeNews' | 'applyNews'>;
+  readonly limits: Pick<BackendRateLimits, 'describeNews' | 'applyNews'>;
   readonly onTargets: (targets: ReadonlyMap<string, GatewayTarget>) => void;
   /** Addresses of the control processes, whenever they are told. */
   readonly onControl: (addresses: readonly string[]) => void;
 }
 
 /** Asks control again and again. */
-export class RulesFeed {
+export class ControlPoller {
   private routeIndex: RouteIndex | undefined;
   private targets = new Map<string, GatewayTarget>();
   private tableTag = '';
@@ -78,8 +78,8 @@
    * @example
    * const feed = RulesFeed.create({gatewayId, client, clock, events, confirmationMs, changesWithinMs, collectNews, onTargets, onControl});
    */
-  static create(options: RulesFeedOptions): RulesFeed {
-    return new RulesFeed(options);
+  static create(options: RulesFeedOptions): ControlPoller {
+    return new ControlPoller(options);
   }
 
   /** The rules in force; undefined before the first. */
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/proxied_request.ts
@@ -1,18 +1,18 @@
 /** Carries one request through: attempts, repeats, resumed streams, its final answer. */
-import {AnswerHead} from './answer_head';
-import {AnswerRelay} from './answer_relay';
+import {ResponseHead} from './response_head';
+import {ResponseRelay} from './response_relay';
 import {Attempt} from './attempt';
-import {AttemptEnd} from './attempt_end';
-import {createFlowParts} from './create_flow_parts';
-import {FINAL_STATUS} from './final_status';
-import {FlowCourse} from './flow_course';
-import {FlowResult} from './flow_result';
-import {FlowSender} from './flow_sender';
-import {PlaceWait} from './place_wait';
-import {RepeatPolicy} from './repeat_policy';
-import {RequestFlowOptions} from './request_flow_options';
-import {sendFinalAnswer} from './send_final_answer';
-import {StallJudge} from './stall_judge';
+import {AttemptOutcome} from './attempt_outcome';
+import {createRequestPolicies} from './create_request_policies';
+import {ERROR_STATUS} from './error_status';
+import {RequestHistory} from './request_history';
+import {RequestResult} from './request_result';
+import {RequestSender} from './request_sender';
+import {SlotWait} from './slot_wait';
+import {RetryPolicy} from './retry_policy';
+import {ProxiedRequestOptions} from './proxied_request_options';
+import {sendErrorResponse} from './send_error_response';
+import {StallDetector} from './stall_detector';
 import {SuspectTrial} from './suspect_trial';
 
 /** Told to the caller of a request that is never sent again, too. */
@@ -20,24 +20,24 @@
   'backend servers end when they begin this request: it is not sent again';
 
 /** One request under way. */
-export class RequestFlow {
-  private readonly sender: FlowSender;
-  private readonly relay: AnswerRelay;
-  private readonly course: FlowCourse;
-  private readonly policy: RepeatPolicy;
+export class ProxiedRequest {
+  private readonly sender: RequestSender;
+  private readonly relay: ResponseRelay;
+  private readonly course: RequestHistory;
+  private readonly policy: RetryPolicy;
   private readonly trial: SuspectTrial;
   private readonly deadlineAt: number;
   private readonly timer: NodeJS.Timeout;
-  private readonly stall: StallJudge;
-  private readonly wait: PlaceWait;
-  private readonly names: ReturnType<typeof createFlowParts>['names'];
+  private readonly stall: StallDetector;
+  private readonly wait: SlotWait;
+  private readonly names: ReturnType<typeof createRequestPolicies>['names'];
   private isDone = false;
   /** It is being found out whether its backend server has ended. */
   private isInDoubt = false;
 
-  private constructor(private readonly options: RequestFlowOptions) {
-    const {request, clock, answer} = options;
-    const parts = createFlowParts(options);
+  private constructor(private readonly options: ProxiedRequestOptions) {
+    const {request, clock, response: answer} = options;
+    const parts = createRequestPolicies(options);
     this.deadlineAt = parts.deadlineAt;
     this.course = parts.course;
     this.policy = parts.policy;
@@ -45,12 +45,12 @@
     this.stall = parts.stall;
     this.wait = parts.wait;
     this.trial = SuspectTrial.create(options);
-    this.relay = AnswerRelay.create({
+    this.relay = ResponseRelay.create({
       answer,
       lastEventId: request.lastEventId,
       onPassed: hasRoom => this.recordPassed(hasRoom),
     });
-    this.sender = FlowSender.create({
+    this.sender = RequestSender.create({
       ...parts,
       flow: options,
       readLastEventId: () => this.relay.lastEventId,
@@ -66,7 +66,7 @@
     });
     this.timer = setTimeout(
       () =>
-        this.abandon('the time for the request is over', FINAL_STATUS.timedOut),
+        this.abandon('the time for the request is over', ERROR_STATUS.timedOut),
       Math.max(0, this.deadlineAt - clock.now()),
     );
     answer.watchGone(() => this.leave());
@@ -78,8 +78,8 @@
    * @example
    * const flow = RequestFlow.create(options);
    */
-  static create(options: RequestFlowOptions): RequestFlow {
-    const flow = new RequestFlow(options);
+  static create(options: ProxiedRequestOptions): ProxiedRequest {
+    const flow = new ProxiedRequest(options);
     options.budget.recordRequest();
     flow.sendOn('no backend server can take it now');
     return flow;
@@ -95,15 +95,15 @@
     const {containment, identity} = this.options;
     const {attempt} = this.sender;
     const hasBegun = attempt?.hasStarted ?? false;
-    const standing = hasBegun ? 'free' : containment.find(identity);
+    const standing = hasBegun ? 'free' : containment.findStatus(identity);
     if (standing === 'convicted') {
-      this.abandon(CONVICTED, FINAL_STATUS.cannotBeRun);
-    } else if (this.trial.isUnderWay) {
+      this.abandon(CONVICTED, ERROR_STATUS.cannotBeRun);
+    } else if (this.trial.isWaiting) {
       this.checkTrial(now);
-    } else if (this.wait.isUnderWay && standing === 'suspected') {
+    } else if (this.wait.isWaiting && standing === 'suspected') {
       this.wait.end();
-      this.trial.begin(now);
-    } else if (this.wait.isUnderWay) {
+      this.trial.beginWaiting(now);
+    } else if (this.wait.isWaiting) {
       this.checkWaiting(now);
     } else if (attempt?.isLeftBehind) {
       attempt.stop('its backend server takes no new work');
@@ -130,11 +130,11 @@
   private checkWaiting(now: number): void {
     const {wait, sender} = this;
     const {wasSent} = this.course;
-    const isTurn = (wasSent || wait.isFirst) && !sender.isAskingPermit;
+    const isTurn = (wasSent || wait.isFirstInQueue) && !sender.isAskingPermit;
     const target = isTurn ? sender.findTarget(wasSent) : undefined;
     if (target) {
       sender.send(target);
-    } else if (!sender.isAskingPermit && !wait.canGoOn(now)) {
+    } else if (!sender.isAskingPermit && !wait.canKeepWaiting(now)) {
       wait.end();
       this.giveUp(sender.explainNoTarget('nobody had a place for it in time'));
     }
@@ -158,40 +158,40 @@
   private checkStall(now: number): void {
     const {policy, sender} = this;
     const {attempt} = sender;
-    if (!attempt || !policy.canGoElsewhere) {
+    if (!attempt || !policy.canFailOver) {
       return;
     }
-    const reason = this.stall.findReasonToLeave(attempt, now);
+    const reason = this.stall.findFailoverReason(attempt, now);
     // Without a repeat left it is better to wait on than to break off.
-    if (reason && policy.hasRepeat && sender.findTarget(true, true)) {
+    if (reason && policy.hasRetry && sender.findTarget(true, true)) {
       attempt.stop(reason);
     }
   }
 
   /** What an engine has begun may go on once a group of the model is formed anew. */
   private get canAwaitRepair(): boolean {
-    return this.options.pool.engine !== undefined && this.policy.hasRun;
+    return this.options.pool.engine !== undefined && this.policy.mayHaveRun;
   }
 
   /** Sends to the best target; the first time also waits a little for a place. */
   private sendOn(whyNot: string): void {
     const {wait, sender} = this;
     const {containment, identity, clock} = this.options;
-    if (containment.find(identity) !== 'free') {
-      this.trial.begin(clock.now());
+    if (containment.findStatus(identity) !== 'free') {
+      this.trial.beginWaiting(clock.now());
       return this.check(clock.now());
     }
     // What has begun elsewhere is worth more than what has not begun at all.
     const mayQueue = this.course.wasSent;
-    const isTurn = mayQueue || wait.isFirst;
+    const isTurn = mayQueue || wait.isFirstInQueue;
     const target = isTurn ? sender.findTarget(mayQueue) : undefined;
     if (target) {
       sender.send(target);
-    } else if (!mayQueue && sender.findTarget(true) && wait.hasHope) {
-      wait.beginInLine();
+    } else if (!mayQueue && sender.findTarget(true) && wait.canStartInTime) {
+      wait.joinQueue();
     } else if (
       !this.canAwaitRepair ||
-      !wait.beginForRepair(this.course.passedAt)
+      !wait.waitForRepair(this.course.passedAt)
     ) {
       this.giveUp(sender.explainNoTarget(whyNot));
     }
@@ -200,19 +200,20 @@
   /** Nothing was held against it while it waited for a permit, and its caller is there. */
   private get maySend(): boolean {
     const {containment, identity} = this.options;
-    const isFree = this.trial.hasPlace || containment.find(identity) === 'free';
+    const isFree =
+      this.trial.hasGrant || containment.findStatus(identity) === 'free';
     return !this.isDone && isFree;
   }
 
   private handleDenied(): void {
-    if (this.isDone || this.wait.isUnderWay || this.trial.isUnderWay) {
+    if (this.isDone || this.wait.isWaiting || this.trial.isWaiting) {
       return;
     }
     this.trial.end();
     this.sendOn('no backend server can take it now');
   }
 
-  private handleHead(head: AnswerHead): void {
+  private handleHead(head: ResponseHead): void {
     const wrong = this.relay.acceptHead(head);
     if (wrong) {
       this.sender.attempt?.stop(wrong);
@@ -220,7 +221,7 @@
   }
 
   private handleData(chunk: Buffer): void {
-    this.trial.recordBegun();
+    this.trial.recordResponseStart();
     const wrong = this.isDone ? undefined : this.relay.acceptData(chunk);
     if (wrong) {
       this.sender.attempt?.stop(wrong);
@@ -228,7 +229,7 @@
   }
 
   private recordPassed(hasRoom: boolean): void {
-    const {answer, clock} = this.options;
+    const {response: answer, clock} = this.options;
     const {attempt} = this.sender;
     this.course.recordEvent(clock.now());
     if (!hasRoom && attempt) {
@@ -237,12 +238,12 @@
     }
   }
 
-  private handleEnd(end: AttemptEnd): void {
+  private handleEnd(end: AttemptOutcome): void {
     const {attempt} = this.sender;
     this.sender.attempt = undefined;
     this.trial.end();
     if (end.kind !== 'not-run') {
-      this.wait.recordPlaceFree();
+      this.wait.recordSlotFreed();
     }
     if (end.isConnectionLost && attempt) {
       void this.handleBreak(attempt, end.reason);
@@ -251,19 +252,19 @@
     }
   }
 
-  private handleOutcome(end: AttemptEnd): void {
+  private handleOutcome(end: AttemptOutcome): void {
     const {policy} = this;
     if (end.kind === 'not-run') {
       policy.recordRefusal();
-      this.repeat(end.reason, policy.canBeRefusedAgain);
+      this.repeat(end.reason, policy.canRetryAfterRefusal);
       return;
     }
     policy.recordRun();
     if (end.kind === 'broken') {
-      this.repeat(end.reason, policy.canRunAgain);
+      this.repeat(end.reason, policy.canRetry);
       return;
     }
-    this.finishWhole(policy.canRunAgain);
+    this.finishWhole(policy.canRetry);
   }
 
   /**
@@ -277,8 +278,12 @@
     const {containment, identity, clock} = this.options;
     const {name} = identity;
     this.course.recordBroken(name);
-    this.trial.recordBreak(clock.now());
-    const judged = containment.recordBreak({target, name, hasBegun});
+    this.trial.recordConnectionLoss(clock.now());
+    const judged = containment.recordConnectionLoss({
+      target,
+      name,
+      hasResponseStarted: hasBegun,
+    });
     if (!hasBegun) {
       this.isInDoubt = true;
       await judged;
@@ -302,13 +307,13 @@
         return;
       }
       relay.endStream(head);
-      this.trial.recordWhole();
+      this.trial.recordCompletion();
       this.finish(head.status);
       return;
     }
     const isFailure = head.status >= 500;
-    this.trial.recordWhole();
-    if (isFailure && mayRepeat && this.policy.takeRepeat()) {
+    this.trial.recordCompletion();
+    if (isFailure && mayRepeat && this.policy.takeRetry()) {
       this.sendOn('no other backend server');
       return;
     }
@@ -317,7 +322,7 @@
   }
 
   private repeat(reason: string, isAllowed: boolean): void {
-    if (isAllowed && this.policy.takeRepeat()) {
+    if (isAllowed && this.policy.takeRetry()) {
       this.sendOn(reason);
     } else {
       this.giveUp(reason);
@@ -334,14 +339,14 @@
   private get unansweredStatus(): number {
     const {attempt} = this.sender;
     const isSent = attempt !== undefined && !attempt.isWaiting;
-    const mayHaveRun = this.policy.hasRun || isSent || this.isInDoubt;
-    return mayHaveRun ? FINAL_STATUS.failed : FINAL_STATUS.notRun;
+    const mayHaveRun = this.policy.mayHaveRun || isSent || this.isInDoubt;
+    return mayHaveRun ? ERROR_STATUS.failed : ERROR_STATUS.notRun;
   }
 
   private sendFinal(reason: string, status: number): void {
-    const {answer, request} = this.options;
+    const {response: answer, request} = this.options;
     const told = {requestId: request.id, reason, status, wait: this.wait};
-    const end = sendFinalAnswer({answer, ...told});
+    const end = sendErrorResponse({answer, ...told});
     this.tell(end.outcome, reason, end.status);
   }
 
@@ -368,14 +373,14 @@
   }
 
   private tell(
-    outcome: FlowResult['outcome'],
+    outcome: RequestResult['outcome'],
     reason: string,
     status: number,
   ): void {
     const {clock, onDone, forecast} = this.options;
     const {workMs} = this.course;
     if (workMs !== undefined) {
-      forecast.recordWork(this.names.work, workMs);
+      forecast.recordFirstEventMs(this.names.work, workMs);
     }
     onDone({outcome, reason, status, ...this.course.describe(clock.now())});
   }
--- a/src/gateway/flow_sender.ts
+++ b/src/gateway/request_sender.ts
@@ -2,8 +2,8 @@
 import {GatewayTarget} from '../protocol/gateway_target';
 import {Attempt} from './attempt';
 import {createTargetKey} from './create_target_key';
-import {FlowCourse} from './flow_course';
-import {RequestFlowOptions} from './request_flow_options';
+import {RequestHistory} from './request_history';
+import {ProxiedRequestOptions} from './proxied_request_options';
 import {SendPermit} from './send_permit';
 
 type AttemptHooks = Pick<
@@ -13,8 +13,8 @@
 
 /** What sending takes beside the request itself. */
 interface FlowSenderOptions extends AttemptHooks {
-  readonly flow: RequestFlowOptions;
-  readonly course: FlowCourse;
+  readonly flow: ProxiedRequestOptions;
+  readonly course: RequestHistory;
   /** When the caller gives up, on the gateway's clock. */
   readonly deadlineAt: number;
   readonly readLastEventId: () => string | undefined;
@@ -26,7 +26,7 @@
 }
 
 /** Knows where a request was sent and where it is. */
-export class FlowSender {
+export class RequestSender {
   /** Where it is now. */
   attempt: Attempt | undefined;
   private readonly tried = new Set<string>();
@@ -40,8 +40,8 @@
    * @example
    * const sender = FlowSender.create({flow, course, deadlineAt, readLastEventId, maySend, onSending, onDenied, onHead, onData, onEnd});
    */
-  static create(options: FlowSenderOptions): FlowSender {
-    return new FlowSender(options);
+  static create(options: FlowSenderOptions): RequestSender {
+    return new RequestSender(options);
   }
 
   /** It waits for the leader's word on whether it may be sent. */
@@ -55,11 +55,11 @@
    * @param isSure leaves out those that may deny it
    */
   findTarget(mayQueue: boolean, isSure = false): GatewayTarget | undefined {
-    const {request, pool, board} = this.options.flow;
+    const {request, pool, balancer: board} = this.options.flow;
     return board.choose({
       pool: pool.name,
       mayQueue,
-      isSure,
+      excludesLimited: isSure,
       model: pool.engine ? request.model : undefined,
       excluded: this.tried,
     });
@@ -67,10 +67,10 @@
 
   /** Adds to a reason what backend servers say of themselves. */
   explainNoTarget(reason: string): string {
-    const {pool, request, board, signals} = this.options.flow;
+    const {pool, request, balancer: board, signals} = this.options.flow;
     const model = pool.engine ? request.model : undefined;
     const known = board.listIncarnations({pool: pool.name, model});
-    const closed = signals.explainClosed(known);
+    const closed = signals.explainUnavailable(known);
     return closed === undefined ? reason : `${reason}; ${closed}`;
   }
 
@@ -86,9 +86,9 @@
   private async sendByPermit(target: GatewayTarget): Promise<void> {
     const {flow, maySend, onDenied} = this.options;
     this.isAsking = true;
-    const permit = await flow.signals.limits.askPermit(target.incarnation);
+    const permit = await flow.signals.limits.acquirePermit(target.incarnation);
     this.isAsking = false;
-    if (permit && flow.board.has(target.incarnation) && maySend()) {
+    if (permit && flow.balancer.has(target.incarnation) && maySend()) {
       this.begin(target, permit);
     } else {
       onDenied();
@@ -97,7 +97,7 @@
 
   private begin(target: GatewayTarget, permit?: SendPermit): void {
     const {flow, course, deadlineAt, readLastEventId, onSending} = this.options;
-    const {board, clock} = flow;
+    const {balancer: board, clock} = flow;
     onSending();
     this.tried.add(createTargetKey(target));
     const {incarnation} = target;
--- a/src/gateway/answer_head.ts
+++ b/src/gateway/response_head.ts
@@ -1,5 +1,5 @@
 /** The head of a backend server's answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   /** Headers for the caller, by lower-case name. */
   readonly headers: Readonly<Record<string, string>>;
@@ -10,7 +10,7 @@
   /** The backend server says that the request has not run. */
   readonly isNotRun: boolean;
   /** The address is another start of a backend server now. */
-  readonly isOtherIncarnation: boolean;
+  readonly isWrongIncarnation: boolean;
   /**
    * The answer says where it ends. Without it only the end of the connection
    * does, which a crash ends as well.
--- a/test/coordination/raft_voters.test.ts
+++ b/test/coordination/raft_voters.test.ts
@@ -28,7 +28,7 @@
     term: 1,
     votedFor: undefined,
     commitIndex: 0,
-    knownCommitted,
+    knownCommitIndex: knownCommitted,
     timing: TIMING,
     random: () => 0,
     readSnapshot: () => new Uint8Array(),
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -4,15 +4,15 @@
 import {systemClock} from '../../src/common/system_clock';
 import {EventRing} from '../../src/common/event_ring';
 import {BackendSignals} from '../../src/gateway/backend_signals';
-import {BreakWitness} from '../../src/gateway/break_witness';
-import {CallerAnswer} from '../../src/gateway/caller_answer';
-import {Containment} from '../../src/gateway/containment';
-import {FlowResult} from '../../src/gateway/flow_result';
-import {PlaceForecast} from '../../src/gateway/place_forecast';
-import {RepeatBudget} from '../../src/gateway/repeat_budget';
-import {RequestFlow} from '../../src/gateway/request_flow';
+import {CrashDetector} from '../../src/gateway/crash_detector';
+import {ResponseWriter} from '../../src/gateway/response_writer';
+import {CrashContainment} from '../../src/gateway/crash_containment';
+import {RequestResult} from '../../src/gateway/request_result';
+import {SlotForecast} from '../../src/gateway/slot_forecast';
+import {RetryBudget} from '../../src/gateway/retry_budget';
+import {ProxiedRequest} from '../../src/gateway/proxied_request';
 import {RequestIdentity} from '../../src/gateway/request_identity';
-import {TargetBoard} from '../../src/gateway/target_board';
+import {LoadBalancer} from '../../src/gateway/load_balancer';
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {PermitVerdict} from '../../src/protocol/permit_verdict';
@@ -50,10 +50,10 @@
 
 /** A small gateway of one route. */
 export class FlowFixture {
-  readonly results: FlowResult[] = [];
+  readonly results: RequestResult[] = [];
   /** What the board was told at first. */
   targets: Array<[string, GatewayTarget]> = [];
-  readonly forecast = PlaceForecast.create(systemClock);
+  readonly forecast = SlotForecast.create(systemClock);
   readonly events = EventRing.create();
   /** What the leader answers a question for a permit; at first nobody leads. */
   answerPermit: () => Promise<PermitVerdict> = () =>
@@ -67,15 +67,15 @@
     askPermit: () => this.answerPermit(),
     onNews: () => undefined,
   });
-  readonly board = TargetBoard.create(
+  readonly board = LoadBalancer.create(
     'z',
     systemClock,
     () => 0,
     () => undefined,
-    this.signals.openness,
+    this.signals.availability,
   );
-  private readonly containment = Containment.create({
-    witness: BreakWitness.create({clock: systemClock, events: this.events}),
+  private readonly containment = CrashContainment.create({
+    detector: CrashDetector.create({clock: systemClock, events: this.events}),
     calls: {
       report: () => Promise.resolve(),
       askTrial: () => Promise.resolve('free'),
@@ -83,7 +83,7 @@
     onEnded: () => undefined,
   });
   private readonly origins = HttpOrigins.create();
-  private readonly flows = new Set<RequestFlow>();
+  private readonly flows = new Set<ProxiedRequest>();
   private readonly timer: NodeJS.Timeout;
 
   private constructor(
@@ -179,7 +179,7 @@
         throw new Error(request);
       }
       const body = Buffer.concat(chunks);
-      const flow = RequestFlow.create({
+      const flow = ProxiedRequest.create({
         request: {...request, model: this.model},
         identity: RequestIdentity.create({request, body}),
         containment: this.containment,
@@ -193,10 +193,10 @@
         },
         maxConnections: 4,
         arrivedAt,
-        answer: CallerAnswer.create(response, 'request-id', () => false),
+        response: ResponseWriter.create(response, 'request-id', () => false),
         origins: this.origins,
-        board: this.board,
-        budget: RepeatBudget.create(
+        balancer: this.board,
+        budget: RetryBudget.create(
           {ratio: 1, windowMs: 10_000, slack: 100},
           systemClock,
           () => 1,
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -5,8 +5,8 @@
  */
 import {Clock} from '../../src/common/clock';
 import {EventRing} from '../../src/common/event_ring';
-import {LimitDesk} from '../../src/control/limit_desk';
-import {BackendLimits} from '../../src/gateway/backend_limits';
+import {RateLimitService} from '../../src/control/rate_limit_service';
+import {BackendRateLimits} from '../../src/gateway/backend_rate_limits';
 import {LimitWord} from '../../src/protocol/limit_word';
 import {VirtualTime} from '../simulation/virtual_time';
 
@@ -35,7 +35,7 @@
 }
 
 class CrowdGateway {
-  limits: BackendLimits;
+  limits: BackendRateLimits;
   /** Frozen or suspended until then. */
   awayUntil = -Infinity;
   isCutOff = false;
@@ -51,9 +51,9 @@
     this.limits = this.start();
   }
 
-  start(): BackendLimits {
+  start(): BackendRateLimits {
     const {crowd, steady} = this;
-    this.limits = BackendLimits.create({
+    this.limits = BackendRateLimits.create({
       clock: steady,
       leaseClock: crowd.time,
       events: EventRing.create(),
@@ -72,7 +72,7 @@
   /** When the first answer named the limit. */
   firstNamedAt: number | undefined;
   asks = 0;
-  private desk: LimitDesk | undefined;
+  private desk: RateLimitService | undefined;
   private term = 0;
 
   private constructor(private readonly options: LimitCrowdOptions) {
@@ -159,7 +159,7 @@
   askPermit(
     gateway: CrowdGateway,
     limit: LimitWord,
-  ): ReturnType<Parameters<typeof BackendLimits.create>[0]['askPermit']> {
+  ): ReturnType<Parameters<typeof BackendRateLimits.create>[0]['askPermit']> {
     this.asks += 1;
     const {limits} = gateway;
     return new Promise((resolve, reject) => {
@@ -190,9 +190,9 @@
       if (!desk || gateway.isCutOff) {
         return;
       }
-      desk.recordWords(`g${gateway.index}`, words);
+      desk.recordReports(`g${gateway.index}`, words);
       const tag = desk.readTag();
-      const news = tag === limitsTag ? [] : desk.describeSince(limitsTag);
+      const news = tag === limitsTag ? [] : desk.listChangesSince(limitsTag);
       this.actAt(gateway, this.drawDelay(), () => {
         if (gateway.limits === limits) {
           limits.applyNews(words, tag, news);
@@ -209,14 +209,13 @@
   private elect(leadingSince: number): void {
     this.term += 1;
     const {term} = this;
-    this.desk = LimitDesk.create({
+    this.desk = RateLimitService.create({
       runtime: {raft: {term}, leadingSince},
       registry: {find: () => undefined},
       clock: this.time,
       events: EventRing.create(),
       leaderName: `c${term}`,
-      announce: () =>
-        this.gateways.forEach(gateway => this.wake(gateway, term)),
+      notify: () => this.gateways.forEach(gateway => this.wake(gateway, term)),
     });
   }
 
@@ -248,11 +247,11 @@
 
   private async place(gateway: CrowdGateway): Promise<void> {
     const {limits} = gateway;
-    if (!limits.isOpen(BACKEND)) {
+    if (!limits.isAvailable(BACKEND)) {
       return;
     }
     const isByPermit = limits.isLimited(BACKEND);
-    const permit = isByPermit && (await limits.askPermit(BACKEND));
+    const permit = isByPermit && (await limits.acquirePermit(BACKEND));
     const maySend = !isByPermit || permit;
     if (maySend && gateway.limits === limits) {
       this.send(gateway, isByPermit);
