--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -4,8 +4,8 @@
 import {GroupAction} from '../src/coordination/groups/group_action';
 import {GroupPlanInput} from '../src/coordination/groups/group_plan_input';
 import {hostLoss} from '../src/coordination/groups/host_loss';
-import {listDemands} from '../src/coordination/groups/list_demands';
-import {PlanContext} from '../src/coordination/groups/plan_context';
+import {listReplicaDemands} from '../src/coordination/groups/list_replica_demands';
+import {GroupPlanContext} from '../src/coordination/groups/group_plan_context';
 import {planFormation} from '../src/coordination/groups/plan_formation';
 import {Group} from '../src/protocol/group';
 import {RepairPolicy} from './virtual_fleet';
@@ -14,7 +14,7 @@
 type Repair = (
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ) => GroupAction | undefined;
 
 /** Replaces a lost member by any spare at once; without one, moves to another domain. */
@@ -50,7 +50,7 @@
 function replace(
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction | undefined {
   const spares = context.free.take({...group, groupId: group.id}, lost.length);
   const kept = group.members.filter(member => !lost.includes(member));
@@ -62,9 +62,9 @@
 function createPolicy(repair: Repair): RepairPolicy {
   const plan = (input: GroupPlanInput) => {
     const hosts = new Map(input.hosts.map(host => [host.report.hostId, host]));
-    const demands = listDemands(input.bundle);
+    const demands = listReplicaDemands(input.bundle);
     const free = FreeHosts.create(input);
-    const context: PlanContext = {
+    const context: GroupPlanContext = {
       input,
       hosts,
       free,
--- a/src/control/engine_planner_loop.ts
+++ b/src/control/engine_planner_loop.ts
@@ -3,11 +3,11 @@
 import {EventRing} from '../common/event_ring';
 import {BackendView} from '../coordination/groups/backend_view';
 import {countByDomain} from '../coordination/groups/count_by_domain';
-import {DemandFollower} from '../coordination/groups/demand_follower';
+import {ShareAdjuster} from '../coordination/groups/share_adjuster';
 import {EngineAction} from '../coordination/groups/engine_action';
 import {EnginePlanInput} from '../coordination/groups/engine_plan_input';
 import {planEngineGroups} from '../coordination/groups/plan_engine_groups';
-import {splitHosts} from '../coordination/groups/split_hosts';
+import {createEnginePlanInput} from '../coordination/groups/create_engine_plan_input';
 import {ControlCommand} from '../protocol/control_command';
 import {EngineGroup} from '../protocol/engine_group';
 import {listMemberNames} from '../protocol/list_member_names';
@@ -53,7 +53,7 @@
   /** When hosts were last moved: they are not moved again at once. */
   private rebalancedAt = -Infinity;
   /** How the hosts of each pool are split among its models. */
-  private readonly followers = new Map<string, DemandFollower>();
+  private readonly followers = new Map<string, ShareAdjuster>();
   private plannedTerm = -1;
   private isCommitting = false;
 
@@ -168,10 +168,10 @@
   ): EnginePlanInput {
     const {desk, events} = this.options;
     const {pool} = configured;
-    const follower = this.followers.get(pool) ?? DemandFollower.create();
+    const follower = this.followers.get(pool) ?? ShareAdjuster.create();
     this.followers.set(pool, follower);
     const demand = desk.computeDemand();
-    const {input, shifted} = splitHosts({
+    const {input, shifted} = createEnginePlanInput({
       follower,
       input: configured,
       domains,
--- a/src/coordination/groups/compute_usual_groups.ts
+++ b/src/coordination/groups/compute_desired_groups.ts
@@ -10,7 +10,7 @@
  * @example
  * const usual = computeUsualGroups(pool.engine, [8, 8, 8]);
  */
-export function computeUsualGroups(
+export function computeDesiredGroups(
   {models}: EngineProfile,
   domains: readonly number[],
 ): Map<string, number> {
--- a/src/coordination/groups/compute_probation.ts
+++ b/src/coordination/groups/compute_quarantine_ms.ts
@@ -9,7 +9,7 @@
  * @example
  * computeProbation(3); // 30_000
  */
-export function computeProbation(losses: number): number {
+export function computeQuarantineMs(losses: number): number {
   return losses < 2
     ? 0
     : Math.min(MAX_PROBATION_MS, FIRST_PROBATION_MS * 2 ** (losses - 2));
--- a/src/coordination/groups/compute_repair_costs.ts
+++ b/src/coordination/groups/compute_repair_costs.ts
@@ -6,7 +6,7 @@
  * weights say what each is worth.
  */
 import {BrokenGroup} from './broken_group';
-import {computeReturn} from './compute_return';
+import {estimateRecovery} from './estimate_recovery';
 import {RepairOption} from './repair_option';
 
 const MS_PER_SECOND = 1_000;
@@ -81,7 +81,7 @@
   const rate =
     weights.groupDowntime * worth * size * acceleratorsPerHost +
     weights.strandedAccelerators * acceleratorsPerHost * survivors;
-  const {probability, meanMs} = computeReturn(group.silentMs);
+  const {probability, meanMs} = estimateRecovery(group.silentMs);
   const relapse = computeSeconds(group.losses * RELAPSE_MS) * rate;
   const ifBack = computeSeconds(meanMs) * rate + relapse;
   const ifNot = computeSeconds(PATIENCE_MS) * rate + cheapest;
--- a/src/coordination/groups/split_hosts.ts
+++ b/src/coordination/groups/create_engine_plan_input.ts
@@ -1,14 +1,14 @@
 import {EngineProfile} from '../../protocol/engine_profile';
 import {ModelDemand} from '../../protocol/model_demand';
-import {computeUsualGroups} from './compute_usual_groups';
-import {DemandFollower} from './demand_follower';
-import {EngineCounts} from './engine_counts';
+import {computeDesiredGroups} from './compute_desired_groups';
+import {ShareAdjuster} from './share_adjuster';
+import {ModelCounts} from './model_counts';
 import {EnginePlanInput} from './engine_plan_input';
 import {planRebalance} from './plan_rebalance';
 
 /** What hosts are split by. */
 interface SplitOptions {
-  readonly follower: DemandFollower;
+  readonly follower: ShareAdjuster;
   /** As configured. */
   readonly input: Omit<EnginePlanInput, 'usual'>;
   /** Engines that are well, counted by fabric domain. */
@@ -23,13 +23,18 @@
  * @example
  * const {input, shifted} = splitHosts({follower, input, domains, demand});
  */
-export function splitHosts({follower, input, domains, demand}: SplitOptions) {
+export function createEnginePlanInput({
+  follower,
+  input,
+  domains,
+  demand,
+}: SplitOptions) {
   const apply = (profile: EngineProfile): EnginePlanInput => ({
     ...input,
     profile,
-    usual: computeUsualGroups(profile, domains),
+    usual: computeDesiredGroups(profile, domains),
   });
-  const counts = EngineCounts.createOfAll(input);
+  const counts = ModelCounts.createOfAll(input);
   const {profile, shifted, movesTo} = follower.follow({
     profile: input.profile,
     domains,
--- a/src/coordination/groups/compute_crowding.ts
+++ b/src/coordination/groups/estimate_late_fraction.ts
@@ -34,7 +34,7 @@
  * @example
  * const crowding = computeCrowding({profile, model, demand, groups: 6});
  */
-export function computeCrowding(input: CrowdingInput): number {
+export function estimateLateFraction(input: CrowdingInput): number {
   const {profile, model, demand, groups} = input;
   if (demand.requestsPerSecond <= 0) {
     return 0;
--- a/src/coordination/groups/compute_return.ts
+++ b/src/coordination/groups/estimate_recovery.ts
@@ -21,7 +21,7 @@
  * @example
  * computeReturn(2_000).probability; // about 0.59
  */
-export function computeReturn(silentMs: number): ReturnEstimate {
+export function estimateRecovery(silentMs: number): ReturnEstimate {
   const short = SHORT_SHARE * Math.exp(-silentMs / SHORT_OUTAGE_MS);
   const lasting = 1 - SHORT_SHARE;
   return {probability: short / (short + lasting), meanMs: SHORT_OUTAGE_MS};
--- a/src/coordination/groups/free_hosts.ts
+++ b/src/coordination/groups/free_hosts.ts
@@ -1,6 +1,6 @@
 /** Hosts that may join a group, given out one by one while a plan is made. */
 import {Group} from '../../protocol/group';
-import {computeProbation} from './compute_probation';
+import {computeQuarantineMs} from './compute_quarantine_ms';
 import {GroupPlanInput} from './group_plan_input';
 import {hostLoss} from './host_loss';
 import {HostView} from './host_view';
@@ -99,7 +99,7 @@
 
 function isUsable(host: HostView, now: number): boolean {
   const {backend, isLeaving, assignment} = host.report;
-  const isOnProbation = now - host.lostAt < computeProbation(host.losses);
+  const isOnProbation = now - host.lostAt < computeQuarantineMs(host.losses);
   return (
     hostLoss.isHeard(host, now) &&
     backend !== null &&
--- a/src/coordination/groups/plan_context.ts
+++ b/src/coordination/groups/group_plan_context.ts
@@ -4,7 +4,7 @@
 import {ReplicaDemand} from './replica_demand';
 
 /** What is shared while one plan is made. */
-export interface PlanContext {
+export interface GroupPlanContext {
   readonly input: GroupPlanInput;
   readonly hosts: ReadonlyMap<string, HostView>;
   /** Shrinks as hosts are given out. */
--- a/src/coordination/groups/is_held_by_silent_head.ts
+++ b/src/coordination/groups/is_held_by_unreachable_head.ts
@@ -9,7 +9,7 @@
  * @example
  * const leaving = groups.filter(group => group.isEnding && !isHeldBySilentHead(group, input));
  */
-export function isHeldBySilentHead(
+export function isHeldByUnreachableHead(
   {isEnding, isReleased, members}: EngineGroup,
   {backends, isLost}: Pick<EnginePlanInput, 'backends' | 'isLost'>,
 ): boolean {
--- a/src/coordination/groups/list_demands.ts
+++ b/src/coordination/groups/list_replica_demands.ts
@@ -7,7 +7,7 @@
  * @example
  * const demands = listDemands(bundle);
  */
-export function listDemands(bundle: Bundle): ReplicaDemand[] {
+export function listReplicaDemands(bundle: Bundle): ReplicaDemand[] {
   const models = bundle.models.map(model => ({
     kind: 'model' as const,
     ...model,
--- a/src/coordination/groups/engine_counts.ts
+++ b/src/coordination/groups/model_counts.ts
@@ -1,12 +1,12 @@
 /** How many groups each model has, and which model lacks hosts most. */
 import {EngineProfile} from '../../protocol/engine_profile';
 import {EnginePlanInput} from './engine_plan_input';
-import {isHeldBySilentHead} from './is_held_by_silent_head';
+import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 
 type Model = EngineProfile['models'][number];
 
 /** Counts that follow while one plan is made. */
-export class EngineCounts {
+export class ModelCounts {
   private constructor(
     private readonly groups: Map<string, number>,
     private readonly spares: Map<string, number>,
@@ -19,10 +19,10 @@
    * @example
    * const counts = EngineCounts.create(input);
    */
-  static create(input: EnginePlanInput): EngineCounts {
-    const counts = new EngineCounts(new Map(), new Map());
+  static create(input: EnginePlanInput): ModelCounts {
+    const counts = new ModelCounts(new Map(), new Map());
     input.groups
-      .filter(group => !isHeldBySilentHead(group, input))
+      .filter(group => !isHeldByUnreachableHead(group, input))
       .forEach(({model}) => counts.addGroup(model));
     return counts;
   }
@@ -35,8 +35,8 @@
    * @example
    * const counts = EngineCounts.createOfAll(input);
    */
-  static createOfAll({groups}: Pick<EnginePlanInput, 'groups'>): EngineCounts {
-    const counts = new EngineCounts(new Map(), new Map());
+  static createOfAll({groups}: Pick<EnginePlanInput, 'groups'>): ModelCounts {
+    const counts = new ModelCounts(new Map(), new Map());
     groups.forEach(({model}) => counts.addGroup(model));
     return counts;
   }
--- a/src/coordination/groups/plan_upgrades.ts
+++ b/src/coordination/groups/plan_consolidation.ts
@@ -15,7 +15,7 @@
  * @example
  * const actions = planUpgrades(input);
  */
-export function planUpgrades(input: EnginePlanInput): EngineAction[] {
+export function planConsolidation(input: EnginePlanInput): EngineAction[] {
   const domains = new Map(
     input.backends.map(({registration}) => [
       registration.incarnation,
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -4,11 +4,11 @@
 import {computeReadyMs} from './compute_ready_ms';
 import {computeSpares} from './compute_spares';
 import {EngineAction} from './engine_action';
-import {EngineCounts} from './engine_counts';
+import {ModelCounts} from './model_counts';
 import {EnginePlanInput} from './engine_plan_input';
 import {EngineReservation} from './engine_reservation';
 import {listFreeEngines} from './list_free_engines';
-import {isHeldBySilentHead} from './is_held_by_silent_head';
+import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 import {reserveEngines} from './reserve_engines';
 
 /** Between the domains of a group that spans several. */
@@ -58,7 +58,7 @@
 ): EngineFormation {
   const actions: EngineAction[] = [];
   let free = listFreeEngines(input);
-  const counts = EngineCounts.create(input);
+  const counts = ModelCounts.create(input);
   const names = new Set(input.groups.map(group => group.name));
   for (;;) {
     const reservations = listReservations(input, free, counts);
@@ -103,7 +103,7 @@
 function listReservations(
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): EngineReservation[] {
   if (input.policy?.reserves === false) {
     return [];
@@ -118,7 +118,7 @@
 function isBelowUsual(
   {name}: Model,
   {usual}: EnginePlanInput,
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): boolean {
   return counts.countGroups(name) < (usual.get(name) ?? 0);
 }
@@ -127,7 +127,7 @@
 function listUnreserved(
   model: Model,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
   reservations: readonly EngineReservation[],
 ): BackendView[] {
   const rank = counts.computeRank(model);
@@ -155,7 +155,7 @@
 function listOptions(
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
   reservations: readonly EngineReservation[],
   mayBeFar: boolean,
 ): Option[] {
@@ -175,7 +175,7 @@
   domain: string,
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): Option | undefined {
   const isLacking = isBelowUsual(model, input, counts);
   const hosts = free.filter(host => host.registration.domain === domain);
@@ -219,14 +219,14 @@
   model: Model,
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): Option[] {
   const usual = input.usual.get(model.name) ?? 0;
   const isFarBelow = counts.countGroups(model.name) < usual * FAR_BELOW_SHARE;
   const warm = free.filter(host => computeReadyMs(host, model) < model.loadMs);
   // Hosts that are about to be free can often form a near one.
   const isOneLeaving = input.groups.some(
-    group => group.isEnding && !isHeldBySilentHead(group, input),
+    group => group.isEnding && !isHeldByUnreachableHead(group, input),
   );
   const isLeftOut = input.policy?.formsFar === false;
   if (isLeftOut || !isFarBelow || isOneLeaving || warm.length < model.size) {
--- a/src/coordination/groups/plan_engine_groups.ts
+++ b/src/coordination/groups/plan_engine_groups.ts
@@ -5,8 +5,8 @@
 import {EnginePlanInput} from './engine_plan_input';
 import {planEngineFormation} from './plan_engine_formation';
 import {planRebalance} from './plan_rebalance';
-import {planUpgrades} from './plan_upgrades';
-import {planWeights} from './plan_weights';
+import {planConsolidation} from './plan_consolidation';
+import {planPreloads} from './plan_preloads';
 
 type Views = ReadonlyMap<string, BackendView>;
 type Member = EngineGroup['members'][number];
@@ -48,13 +48,13 @@
     // New groups may take the hosts that a move counts on.
     ...(formations.length === 0 ? moves : []),
     ...formations,
-    ...planWeights(input, taken, reservations),
+    ...planPreloads(input, taken, reservations),
   ];
 }
 
 /** Groups that give up their hosts to a better use. */
 function planMoves(input: EnginePlanInput): EngineAction[] {
-  const upgrades = planUpgrades(input);
+  const upgrades = planConsolidation(input);
   return upgrades.length > 0 ? upgrades : planRebalance(input);
 }
 
--- a/src/coordination/groups/plan_formation.ts
+++ b/src/coordination/groups/plan_formation.ts
@@ -2,7 +2,7 @@
 import {Group} from '../../protocol/group';
 import {createMember} from './create_member';
 import {GroupAction} from './group_action';
-import {PlanContext} from './plan_context';
+import {GroupPlanContext} from './group_plan_context';
 import {ReplicaDemand} from './replica_demand';
 
 /**
@@ -13,7 +13,7 @@
  */
 export function planFormation(
   demand: ReplicaDemand,
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction[] {
   const {input, free} = context;
   const standing = input.groups.filter(
@@ -57,7 +57,7 @@
 /** The domain with the fewest hosts that still has enough, so that large gaps stay usable. */
 function findDomain(
   demand: ReplicaDemand,
-  {free}: PlanContext,
+  {free}: GroupPlanContext,
 ): string | undefined {
   return free
     .listDomains()
--- a/src/coordination/groups/plan_groups.ts
+++ b/src/coordination/groups/plan_groups.ts
@@ -5,8 +5,8 @@
 import {GroupPlanInput} from './group_plan_input';
 import {hostLoss} from './host_loss';
 import {HostView} from './host_view';
-import {listDemands} from './list_demands';
-import {PlanContext} from './plan_context';
+import {listReplicaDemands} from './list_replica_demands';
+import {GroupPlanContext} from './group_plan_context';
 import {planFormation} from './plan_formation';
 import {planRepair} from './plan_repair';
 
@@ -22,13 +22,13 @@
  */
 export function planGroups(input: GroupPlanInput): GroupAction[] {
   const hosts = new Map(input.hosts.map(host => [host.report.hostId, host]));
-  const demands = listDemands(input.bundle);
+  const demands = listReplicaDemands(input.bundle);
   const lost = new Map(
     input.groups.map(group => [group.id, listLost(group, hosts, input.now)]),
   );
   const isBroken = (group: Group) => (lost.get(group.id) ?? []).length > 0;
   const broken = input.groups.filter(isBroken);
-  const context: PlanContext = {
+  const context: GroupPlanContext = {
     input,
     hosts,
     free: FreeHosts.create(input),
@@ -76,7 +76,7 @@
 function planBroken(
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction | undefined {
   if (group.isDraining) {
     const {id: groupId, epoch} = group;
@@ -88,7 +88,7 @@
 
 function planWhole(
   group: Group,
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction | undefined {
   const target = {groupId: group.id, epoch: group.epoch};
   if (group.isDraining) {
@@ -106,7 +106,7 @@
 
 function findDrainReason(
   group: Group,
-  {input, hosts, demands}: PlanContext,
+  {input, hosts, demands}: GroupPlanContext,
 ): string | undefined {
   const demand = demands.find(
     wanted => wanted.kind === group.kind && wanted.name === group.name,
--- a/src/coordination/groups/plan_weights.ts
+++ b/src/coordination/groups/plan_preloads.ts
@@ -7,7 +7,7 @@
 import {EngineProfile} from '../../protocol/engine_profile';
 import {BackendView} from './backend_view';
 import {EngineAction} from './engine_action';
-import {EngineCounts} from './engine_counts';
+import {ModelCounts} from './model_counts';
 import {EnginePlanInput} from './engine_plan_input';
 import {EngineReservation} from './engine_reservation';
 import {listFreeEngines} from './list_free_engines';
@@ -23,7 +23,7 @@
  * @example
  * const orders = planWeights(input, taken, reservations);
  */
-export function planWeights(
+export function planPreloads(
   input: EnginePlanInput,
   taken: ReadonlySet<string> = new Set(),
   reservations: readonly EngineReservation[] = [],
@@ -55,8 +55,8 @@
 function countSupply(
   input: EnginePlanInput,
   free: readonly BackendView[],
-): EngineCounts {
-  const counts = EngineCounts.create(input);
+): ModelCounts {
+  const counts = ModelCounts.create(input);
   for (const {registration, heldModel} of free) {
     const model = heldModel ?? input.findLoading(registration.incarnation);
     if (model !== undefined) {
@@ -67,7 +67,7 @@
 }
 
 /** The model with the fewest hosts for its share of the work comes first. */
-function sortByNeed({profile}: EnginePlanInput, counts: EngineCounts): Model[] {
+function sortByNeed({profile}: EnginePlanInput, counts: ModelCounts): Model[] {
   return [...profile.models].sort(
     (left, right) => counts.computeSupply(left) - counts.computeSupply(right),
   );
@@ -77,7 +77,7 @@
 function planParkings(
   input: EnginePlanInput,
   free: readonly BackendView[],
-  counts: EngineCounts,
+  counts: ModelCounts,
   reservations: readonly EngineReservation[],
 ): EngineAction[] {
   const empty = free.filter(
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -4,9 +4,9 @@
 import {BackendView} from './backend_view';
 import {computeReadyMs} from './compute_ready_ms';
 import {EngineAction} from './engine_action';
-import {EngineCounts} from './engine_counts';
+import {ModelCounts} from './model_counts';
 import {EnginePlanInput} from './engine_plan_input';
-import {isHeldBySilentHead} from './is_held_by_silent_head';
+import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 import {listFreeEngines} from './list_free_engines';
 
 /** With fewer groups the next loss would leave a model without any; only one that has none may ask for that. */
@@ -34,7 +34,7 @@
  */
 export function planRebalance(input: EnginePlanInput): EngineAction[] {
   const isOneLeaving = input.groups.some(
-    group => group.isEnding && !isHeldBySilentHead(group, input),
+    group => group.isEnding && !isHeldByUnreachableHead(group, input),
   );
   const isLeftOut = input.policy?.moves === false;
   if (isLeftOut || !input.mayRebalance || isOneLeaving) {
@@ -42,8 +42,8 @@
   }
   const counts =
     input.policy?.countsHeldBeforeMoves === false
-      ? EngineCounts.create(input)
-      : EngineCounts.createOfAll(input);
+      ? ModelCounts.create(input)
+      : ModelCounts.createOfAll(input);
   const needy = input.profile.models
     .filter(
       ({name}) => input.isPressed(name) || isToGetMore(name, counts, input),
@@ -69,7 +69,7 @@
 
 function isToGetMore(
   model: string,
-  counts: EngineCounts,
+  counts: ModelCounts,
   {usual, movesTo}: EnginePlanInput,
 ): boolean {
   return (
@@ -80,7 +80,7 @@
 /** The fewest groups of one domain whose hosts are enough; undefined for none. */
 function findDonors(
   model: Model,
-  counts: EngineCounts,
+  counts: ModelCounts,
   input: EnginePlanInput,
 ): readonly EngineGroup[] | undefined {
   const views = new Map(
@@ -107,7 +107,7 @@
 function listDonors(
   model: Model,
   domain: Domain,
-  counts: EngineCounts,
+  counts: ModelCounts,
   input: EnginePlanInput,
 ): readonly EngineGroup[] | undefined {
   const donors: EngineGroup[] = [];
@@ -155,7 +155,7 @@
   group: EngineGroup,
   given: readonly EngineGroup[],
   needy: Model,
-  counts: EngineCounts,
+  counts: ModelCounts,
   input: EnginePlanInput,
 ): boolean {
   const model = input.profile.models.find(({name}) => name === group.model);
@@ -181,7 +181,7 @@
   model: Model,
   left: number,
   needy: Model,
-  counts: EngineCounts,
+  counts: ModelCounts,
 ): boolean {
   const isFragile = left < SAFE_GROUPS && counts.countGroups(needy.name) > 0;
   if (left < 1 || isFragile) {
--- a/src/coordination/groups/plan_repair.ts
+++ b/src/coordination/groups/plan_repair.ts
@@ -4,7 +4,7 @@
 import {createMember} from './create_member';
 import {GroupAction} from './group_action';
 import {hostLoss} from './host_loss';
-import {PlanContext} from './plan_context';
+import {GroupPlanContext} from './group_plan_context';
 import {computeRepairCosts} from './compute_repair_costs';
 import {RepairOption} from './repair_option';
 import {ReplicaDemand} from './replica_demand';
@@ -17,7 +17,7 @@
 type Plan = (
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ) => GroupAction | undefined;
 
 /**
@@ -30,7 +30,7 @@
 export function planRepair(
   group: Group,
   lost: readonly Member[],
-  context: PlanContext,
+  context: GroupPlanContext,
 ): GroupAction | undefined {
   const demand = context.demands.find(
     wanted => wanted.kind === group.kind && wanted.name === group.name,
@@ -85,7 +85,7 @@
   group: Group,
   lost: readonly Member[],
   demand: ReplicaDemand,
-  context: PlanContext,
+  context: GroupPlanContext,
 ): BrokenGroup {
   const {input, hosts, free, demands} = context;
   const views = lost.map(member => hosts.get(member.hostId));
@@ -128,7 +128,7 @@
 }
 
 /** How many times the loading time passes until this many more hosts have loaded. */
-function computeQueue(hosts: number, {input}: PlanContext): number {
+function computeQueue(hosts: number, {input}: GroupPlanContext): number {
   const {concurrentLoads} = input.bundle.weightStore;
   const loading = input.groups
     .filter(group => group.kind === 'model' && isStarting(group, input.hosts))
@@ -139,7 +139,7 @@
 /** Every member is well, but the group does not serve yet: it is loading. */
 function isStarting(
   group: Group,
-  hosts: PlanContext['input']['hosts'],
+  hosts: GroupPlanContext['input']['hosts'],
 ): boolean {
   const first = hosts.find(
     host => host.report.hostId === group.members[0].hostId,
@@ -150,7 +150,7 @@
 /** The group of lowest worth in the domain, if it is below this one's and nothing drains yet. */
 function findDonor(
   group: Group,
-  {input, demands, brokenIds}: PlanContext,
+  {input, demands, brokenIds}: GroupPlanContext,
 ): Group | undefined {
   const findWorth = (candidate: Group) =>
     demands.find(
@@ -173,7 +173,7 @@
 }
 
 /** Another broken group of the domain could take them, or a replica is missing. */
-function hasUseForSurvivors(group: Group, context: PlanContext): boolean {
+function hasUseForSurvivors(group: Group, context: GroupPlanContext): boolean {
   const {input, brokenIds, demands, free} = context;
   const isNeighbourBroken = input.groups.some(
     other =>
--- a/src/coordination/groups/plan_standby.ts
+++ b/src/coordination/groups/plan_standby.ts
@@ -2,7 +2,7 @@
 import {Group} from '../../protocol/group';
 import {GroupPlanInput} from './group_plan_input';
 import {HostView} from './host_view';
-import {listDemands} from './list_demands';
+import {listReplicaDemands} from './list_replica_demands';
 
 /**
  * For each free host, the model of its domain whose groups are worth most.
@@ -34,8 +34,8 @@
   );
   const worthOf = (name: string) => {
     const worth =
-      listDemands(input.bundle).find(demand => demand.name === name)?.worth ??
-      0;
+      listReplicaDemands(input.bundle).find(demand => demand.name === name)
+        ?.worth ?? 0;
     return worth * groups.filter((group: Group) => group.name === name).length;
   };
   const names = [...new Set(groups.map(group => group.name))];
--- a/src/coordination/groups/reserve_engines.ts
+++ b/src/coordination/groups/reserve_engines.ts
@@ -8,7 +8,7 @@
 import {computeReadyMs} from './compute_ready_ms';
 import {EnginePlanInput} from './engine_plan_input';
 import {EngineReservation} from './engine_reservation';
-import {isHeldBySilentHead} from './is_held_by_silent_head';
+import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 
 type Model = EngineProfile['models'][number];
 
@@ -73,7 +73,7 @@
 function listLeaving(input: EnginePlanInput): BackendView[] {
   const leaving = new Set(
     input.groups
-      .filter(group => group.isEnding && !isHeldBySilentHead(group, input))
+      .filter(group => group.isEnding && !isHeldByUnreachableHead(group, input))
       .flatMap(({members}) => members.map(member => member.incarnation)),
   );
   return input.backends.filter(
@@ -91,7 +91,7 @@
 function listHeld(input: EnginePlanInput): BackendView[] {
   const held = new Set(
     input.groups
-      .filter(group => isHeldBySilentHead(group, input))
+      .filter(group => isHeldByUnreachableHead(group, input))
       .flatMap(({members}) =>
         members.slice(1).map(member => member.incarnation),
       ),
--- a/src/coordination/groups/demand_follower.ts
+++ b/src/coordination/groups/share_adjuster.ts
@@ -5,8 +5,8 @@
  */
 import {EngineProfile} from '../../protocol/engine_profile';
 import {ModelDemand} from '../../protocol/model_demand';
-import {computeCrowding} from './compute_crowding';
-import {computeUsualGroups} from './compute_usual_groups';
+import {estimateLateFraction} from './estimate_late_fraction';
+import {computeDesiredGroups} from './compute_desired_groups';
 
 const MS_PER_SECOND = 1_000;
 /** Part of the time that a model does without one of its groups, so that a split must bear the next loss. */
@@ -62,7 +62,7 @@
 }
 
 /** One for each pool. */
-export class DemandFollower {
+export class ShareAdjuster {
   private shares: ReadonlyMap<string, number> | undefined;
   /** Answers that were late because a shift was not made, by shift. */
   private readonly missed = new Map<string, number>();
@@ -81,8 +81,8 @@
    * const follower = DemandFollower.create();
    * const {profile} = follower.follow({profile: pool.engine, domains, demand, now, canMove, countGroups});
    */
-  static create(): DemandFollower {
-    return new DemandFollower();
+  static create(): ShareAdjuster {
+    return new ShareAdjuster();
   }
 
   /**
@@ -142,7 +142,7 @@
     );
     let split = profile;
     for (let step = 0; step < total; step += 1) {
-      const usual = computeUsualGroups(split, domains);
+      const usual = computeDesiredGroups(split, domains);
       const made = listShifts({profile: split, domains}).find(
         ({from, to}) =>
           countGroups(from.name) < (usual.get(from.name) ?? 0) &&
@@ -178,7 +178,7 @@
     if (!move) {
       return undefined;
     }
-    const usual = computeUsualGroups(view.profile, view.domains);
+    const usual = computeDesiredGroups(view.profile, view.domains);
     const isMade = view.countGroups(move.to) >= (usual.get(move.to) ?? 0);
     if (isMade || view.now > move.until) {
       this.move = undefined;
@@ -216,7 +216,7 @@
 }: Pick<FollowInput, 'profile' | 'domains'>): Shift[] {
   const {models} = profile;
   const total = models.reduce((sum, {share}) => sum + share, 0);
-  const usual = computeUsualGroups(profile, domains);
+  const usual = computeDesiredGroups(profile, domains);
   const hosts = models.reduce(
     (sum, {name, size}) => sum + (usual.get(name) ?? 0) * size,
     0,
@@ -248,7 +248,7 @@
  */
 function computeCost({from, to}: Shift, view: FollowInput): number {
   const {profile, domains, demand} = view;
-  const usual = computeUsualGroups(profile, domains);
+  const usual = computeDesiredGroups(profile, domains);
   const own = usual.get(from.name) ?? 0;
   const given = Math.max(1, Math.ceil(to.size / from.size));
   const without = new Map(usual).set(from.name, own - given);
@@ -259,7 +259,7 @@
 }
 
 function computeLateOf({profile, domains, demand}: FollowInput): number {
-  return computeLate(profile, demand, computeUsualGroups(profile, domains));
+  return computeLate(profile, demand, computeDesiredGroups(profile, domains));
 }
 
 function computeLate(
@@ -273,11 +273,11 @@
     if (!demand) {
       return sum;
     }
-    const whole = computeCrowding({profile, model, demand, groups});
+    const whole = estimateLateFraction({profile, model, demand, groups});
     // A group is away for seconds only: its answers are late then, and nothing piles up.
     const lacking = Math.min(
       1,
-      computeCrowding({profile, model, demand, groups: groups - 1}),
+      estimateLateFraction({profile, model, demand, groups: groups - 1}),
     );
     const late = whole * (1 - GROUP_AWAY_SHARE) + lacking * GROUP_AWAY_SHARE;
     return sum + late * demand.requestsPerSecond;
--- a/test/coordination/plan_groups.test.ts
+++ b/test/coordination/plan_groups.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, test} from 'vitest';
-import {computeProbation} from '../../src/coordination/groups/compute_probation';
+import {computeQuarantineMs} from '../../src/coordination/groups/compute_quarantine_ms';
 import {computeRepairCosts} from '../../src/coordination/groups/compute_repair_costs';
 import {HostView} from '../../src/coordination/groups/host_view';
 import {planGroups} from '../../src/coordination/groups/plan_groups';
@@ -158,7 +158,7 @@
   test('does not take a host that was lost again and again lately', () => {
     const flapping = createHost('h4', {losses: 3, lostAt: NOW - 20_000});
 
-    expect(computeProbation(3)).toBe(30_000);
+    expect(computeQuarantineMs(3)).toBe(30_000);
     expect(plan([group], [...well, lost, flapping])).toEqual([]);
   });
 
--- a/test/coordination/plan_needier_model.test.ts
+++ b/test/coordination/plan_needier_model.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, test} from 'vitest';
-import {computeUsualGroups} from '../../src/coordination/groups/compute_usual_groups';
+import {computeDesiredGroups} from '../../src/coordination/groups/compute_desired_groups';
 import {EngineGroup} from '../../src/protocol/engine_group';
 import {BackendView} from '../../src/coordination/groups/backend_view';
 import {
@@ -284,7 +284,7 @@
 
 describe('the usual number of groups of a model', () => {
   const count = (...domains: number[]) => [
-    ...computeUsualGroups(PROFILE, domains),
+    ...computeDesiredGroups(PROFILE, domains),
   ];
 
   test('is its share of the hosts, without the spares of each domain', () => {
@@ -345,7 +345,7 @@
   const domains = Array.from({length: 10}, (_, at) => `d${at}`);
   const used = plan({
     profile,
-    usual: computeUsualGroups(
+    usual: computeDesiredGroups(
       profile,
       domains.map(() => 37),
     ),
--- a/test/coordination/demand_follower.test.ts
+++ b/test/coordination/share_adjuster.test.ts
@@ -5,8 +5,8 @@
  * them, while the large model's three groups answered 23 to 31 and none late.
  */
 import {describe, expect, test} from 'vitest';
-import {computeUsualGroups} from '../../src/coordination/groups/compute_usual_groups';
-import {DemandFollower} from '../../src/coordination/groups/demand_follower';
+import {computeDesiredGroups} from '../../src/coordination/groups/compute_desired_groups';
+import {ShareAdjuster} from '../../src/coordination/groups/share_adjuster';
 import {createDemand} from '../support/create_demand';
 import {createRandom} from '../support/create_random';
 import {EngineFleet} from '../support/engine_fleet';
@@ -33,7 +33,7 @@
 
 /** Follows the demand, and tells when the groups that each model should have changed. */
 function follow(phases: readonly Phase[], noise = 0) {
-  const follower = DemandFollower.create();
+  const follower = ShareAdjuster.create();
   const random = createRandom(1);
   const changes: string[] = [];
   let now = 0;
@@ -54,7 +54,7 @@
         canMove: () => true,
         countGroups: () => 0,
       });
-      const counts = computeUsualGroups(profile, domains);
+      const counts = computeDesiredGroups(profile, domains);
       const told = `${counts.get('big')} and ${counts.get('low')}`;
       if (told !== changes.at(-1)?.split(': ')[1]) {
         changes.push(`${now}: ${told}`);
@@ -106,7 +106,7 @@
   // Before the first answers had ended nothing was known of their length, and hosts
   // were moved 0.2 s after the first callers came ("missed": 0).
   test('stays as configured until the length of answers is known', () => {
-    const follower = DemandFollower.create();
+    const follower = ShareAdjuster.create();
     const demand = createDemand(PROFILE_12_6, new Map([['low', 12]]));
     const unknown = {...demand.low, answerTokensPerSecond: 0};
     const results = [0, 500, 1_000, 1_500].map(now =>
@@ -134,7 +134,7 @@
   }));
   const profile = {...PROFILE, models};
   const follow3 = (phases: ReadonlyArray<readonly number[]>) => {
-    const follower = DemandFollower.create();
+    const follower = ShareAdjuster.create();
     let now = 0;
     return phases.map(demand => {
       let counts: number[] = [];
@@ -148,7 +148,7 @@
           canMove: () => true,
           countGroups: () => 0,
         });
-        const usual = computeUsualGroups(followed.profile, DOMAINS);
+        const usual = computeDesiredGroups(followed.profile, DOMAINS);
         counts = models.map(({name}) => usual.get(name) ?? 0);
       }
       return counts;
@@ -203,7 +203,7 @@
       {...first, share},
       {...second, share: 1 - share},
     ];
-    const {profile} = DemandFollower.create().follow({
+    const {profile} = ShareAdjuster.create().follow({
       profile: {...PROFILE_12_6, models},
       domains: DOMAINS,
       demand: {},
@@ -211,7 +211,7 @@
       canMove: () => true,
       countGroups: model => (model === 'big' ? big : low),
     });
-    const counts = computeUsualGroups(profile, DOMAINS);
+    const counts = computeDesiredGroups(profile, DOMAINS);
     return `${counts.get('big')} and ${counts.get('low')}`;
   };
 
@@ -234,7 +234,7 @@
 });
 
 test('shares that an operator changes hold at once', () => {
-  const follower = DemandFollower.create();
+  const follower = ShareAdjuster.create();
   const look = (share: number, now: number) => {
     const [first, second] = PROFILE_12_6.models;
     const models = [
--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -5,11 +5,11 @@
  * groups could have served, without any real time or process.
  */
 import {countByDomain} from '../../src/coordination/groups/count_by_domain';
-import {computeUsualGroups} from '../../src/coordination/groups/compute_usual_groups';
-import {DemandFollower} from '../../src/coordination/groups/demand_follower';
+import {computeDesiredGroups} from '../../src/coordination/groups/compute_desired_groups';
+import {ShareAdjuster} from '../../src/coordination/groups/share_adjuster';
 import {EngineAction} from '../../src/coordination/groups/engine_action';
 import {EnginePlanInput} from '../../src/coordination/groups/engine_plan_input';
-import {splitHosts} from '../../src/coordination/groups/split_hosts';
+import {createEnginePlanInput} from '../../src/coordination/groups/create_engine_plan_input';
 import {planEngineGroups} from '../../src/coordination/groups/plan_engine_groups';
 import {EngineGroup} from '../../src/protocol/engine_group';
 import {createDemand} from './create_demand';
@@ -46,7 +46,7 @@
   private readonly pressedAt = new Map<string, number>();
   private readonly loads: StoreLoads;
   private rebalancedAt = -Infinity;
-  private readonly follower = DemandFollower.create();
+  private readonly follower = ShareAdjuster.create();
   private readonly covered: Array<ReadonlyMap<string, number>> = [];
   private readonly hostSeconds = new Map<string, number>();
   private readonly log: string[] = [];
@@ -202,14 +202,15 @@
     const {followsDemand = true} = this.options;
     const {profile} = configured;
     if (!followsDemand || this.now < 0) {
-      return {...configured, usual: computeUsualGroups(profile, domains)};
+      return {...configured, usual: computeDesiredGroups(profile, domains)};
     }
     const {follower} = this;
     const demand = createDemand(
       profile,
       listGroupsWanted(this.options, this.now),
     );
-    return splitHosts({follower, input: configured, domains, demand}).input;
+    return createEnginePlanInput({follower, input: configured, domains, demand})
+      .input;
   }
 
   private isLost(id: string): boolean {
