--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -31,7 +31,8 @@
       .filter(domain => domain !== group.domain)
       .some(
         domain =>
-          context.free.count({...group, domain}) >= group.members.length,
+          context.free.countMatching({...group, domain}) >=
+          group.members.length,
       );
     const {id: groupId, epoch} = group;
     return canMove
@@ -41,7 +42,9 @@
   'wait for return': createPolicy((group, lost, context) => {
     const isBack = lost.every(member => {
       const host = context.hosts.get(member.hostId);
-      return host !== undefined && hostLoss.isHeard(host, context.input.now);
+      return (
+        host !== undefined && hostLoss.isReporting(host, context.input.now)
+      );
     });
     return isBack ? replace(group, lost, context) : undefined;
   }),
@@ -52,7 +55,10 @@
   lost: readonly Member[],
   context: GroupPlanContext,
 ): GroupAction | undefined {
-  const spares = context.free.take({...group, groupId: group.id}, lost.length);
+  const spares = context.free.allocate(
+    {...group, groupId: group.id},
+    lost.length,
+  );
   const kept = group.members.filter(member => !lost.includes(member));
   const members = [...kept, ...(spares ?? []).map(createMember)];
   const next = {...group, epoch: group.epoch + 1, members};
@@ -69,7 +75,7 @@
       hosts,
       free,
       demands,
-      brokenIds: new Set(),
+      brokenGroupIds: new Set(),
     };
     const repairs = input.groups.flatMap(group => {
       const lost = group.members.filter(member =>
--- a/bench/run_engine_policy.ts
+++ b/bench/run_engine_policy.ts
@@ -20,11 +20,11 @@
 const VARIANTS: Readonly<Record<string, Variant>> = {
   'as it is': {},
   'hosts split as configured': {followsDemand: false},
-  'no slow groups': {formsFar: false},
-  'no moves': {moves: false},
-  'held groups not counted before moves': {countsHeldBeforeMoves: false},
-  'no hosts reserved': {reserves: false},
-  'held hosts not reserved': {reservesHeld: false},
+  'no slow groups': {formsCrossDomainGroups: false},
+  'no moves': {movesHosts: false},
+  'held groups not counted before moves': {countsHeldGroups: false},
+  'no hosts reserved': {reservesHosts: false},
+  'held hosts not reserved': {reservesHeldHosts: false},
 };
 
 interface Fleet {
--- a/src/control/backend_registry.ts
+++ b/src/control/backend_registry.ts
@@ -76,7 +76,7 @@
       registration,
       seenAt: now,
       firstSeenAt: known?.firstSeenAt ?? now,
-      heldModel: findHeldModel(registration, known),
+      loadedModel: findHeldModel(registration, known),
     });
     if (!known) {
       this.dropPredecessors(registration);
@@ -105,8 +105,8 @@
   recordHeld(incarnation: string, model: string): void {
     const known = this.views.get(incarnation);
     const isInGroup = known?.registration.group !== undefined;
-    if (known && !isInGroup && known.heldModel === undefined) {
-      this.views.set(incarnation, {...known, heldModel: model});
+    if (known && !isInGroup && known.loadedModel === undefined) {
+      this.views.set(incarnation, {...known, loadedModel: model});
     }
   }
 
@@ -261,7 +261,7 @@
   {model, group}: BackendRegistration,
   known: BackendView | undefined,
 ): string | undefined {
-  return model ?? (group?.state === 'joining' ? undefined : known?.heldModel);
+  return model ?? (group?.state === 'joining' ? undefined : known?.loadedModel);
 }
 
 /** Everything but the counter of calls. */
--- a/src/control/engine_planner_loop.ts
+++ b/src/control/engine_planner_loop.ts
@@ -172,7 +172,7 @@
     this.followers.set(pool, follower);
     const demand = desk.computeDemand();
     const {input, shifted} = createEnginePlanInput({
-      follower,
+      adjuster: follower,
       input: configured,
       domains,
       demand,
@@ -245,7 +245,7 @@
   }
 }
 
-function isEmpty({registration, heldModel}: BackendView): boolean {
+function isEmpty({registration, loadedModel: heldModel}: BackendView): boolean {
   return heldModel === undefined && registration.stagedModels.length === 0;
 }
 
--- a/src/coordination/groups/backend_view.ts
+++ b/src/coordination/groups/backend_view.ts
@@ -7,5 +7,5 @@
   readonly seenAt: number;
   readonly firstSeenAt: number;
   /** The model that it held last since its start, as far as is known: it joins that at once. */
-  readonly heldModel: string | undefined;
+  readonly loadedModel: string | undefined;
 }
--- a/src/coordination/groups/broken_group.ts
+++ b/src/coordination/groups/broken_group.ts
@@ -3,9 +3,9 @@
   /** How long its lost members have been silent: the shortest silence. */
   readonly silentMs: number;
   /** Members that surely will not return as they were: their process is another one. */
-  readonly hasForgotten: boolean;
+  readonly hasRestarted: boolean;
   /** Most losses that one of the lost members had lately. */
-  readonly losses: number;
+  readonly recentLosses: number;
   readonly size: number;
   readonly survivors: number;
   readonly acceleratorsPerHost: number;
@@ -19,7 +19,7 @@
   /** Worth of the cheapest group of the domain that could give hosts; undefined for none. */
   readonly donorWorth: number | undefined;
   /** The survivors could complete another group as soon as they are free. */
-  readonly hasUseForSurvivors: boolean;
+  readonly canReassignSurvivors: boolean;
   readonly weights: {
     readonly groupDowntime: number;
     readonly strandedAccelerators: number;
--- a/src/coordination/groups/compute_ready_ms.ts
+++ b/src/coordination/groups/compute_ready_ms.ts
@@ -11,7 +11,7 @@
  * const readyMs = computeReadyMs(host, model);
  */
 export function computeReadyMs(
-  {registration, heldModel}: BackendView,
+  {registration, loadedModel: heldModel}: BackendView,
   model: EngineProfile['models'][number],
 ): number {
   if (heldModel === model.name) {
--- a/src/coordination/groups/compute_repair_costs.ts
+++ b/src/coordination/groups/compute_repair_costs.ts
@@ -39,9 +39,9 @@
   const strandRate = weights.strandedAccelerators * acceleratorsPerHost;
   const survivorsFor = (ms: number) =>
     computeSeconds(ms) * strandRate * survivors;
-  const freedMs = group.hasUseForSurvivors ? group.spareLoadMs : HORIZON_MS;
+  const freedMs = group.canReassignSurvivors ? group.spareLoadMs : HORIZON_MS;
   const options: RepairOption[] = [];
-  if (group.hasUseForSurvivors) {
+  if (group.canReassignSurvivors) {
     const cost = computeSeconds(HORIZON_MS) * downRate + survivorsFor(freedMs);
     options.push({action: 'break-up', cost});
   }
@@ -73,7 +73,7 @@
 }
 
 function computeWaitCost(group: BrokenGroup, cheapest: number): number {
-  if (group.hasForgotten) {
+  if (group.hasRestarted) {
     // The member is back, but empty: nothing is gained by waiting for the old one.
     return Infinity;
   }
@@ -82,7 +82,7 @@
     weights.groupDowntime * worth * size * acceleratorsPerHost +
     weights.strandedAccelerators * acceleratorsPerHost * survivors;
   const {probability, meanMs} = estimateRecovery(group.silentMs);
-  const relapse = computeSeconds(group.losses * RELAPSE_MS) * rate;
+  const relapse = computeSeconds(group.recentLosses * RELAPSE_MS) * rate;
   const ifBack = computeSeconds(meanMs) * rate + relapse;
   const ifNot = computeSeconds(PATIENCE_MS) * rate + cheapest;
   return probability * ifBack + (1 - probability) * ifNot;
--- a/src/coordination/groups/create_engine_plan_input.ts
+++ b/src/coordination/groups/create_engine_plan_input.ts
@@ -8,7 +8,7 @@
 
 /** What hosts are split by. */
 interface SplitOptions {
-  readonly follower: ShareAdjuster;
+  readonly adjuster: ShareAdjuster;
   /** As configured. */
   readonly input: Omit<EnginePlanInput, 'usual'>;
   /** Engines that are well, counted by fabric domain. */
@@ -24,7 +24,7 @@
  * const {input, shifted} = splitHosts({follower, input, domains, demand});
  */
 export function createEnginePlanInput({
-  follower,
+  adjuster: follower,
   input,
   domains,
   demand,
@@ -34,15 +34,19 @@
     profile,
     usual: computeDesiredGroups(profile, domains),
   });
-  const counts = ModelCounts.createOfAll(input);
-  const {profile, shifted, movesTo} = follower.follow({
+  const counts = ModelCounts.createWithHeld(input);
+  const {
+    profile,
+    shifted,
+    recipientModel: movesTo,
+  } = follower.update({
     profile: input.profile,
     domains,
     demand,
     now: input.now,
     countGroups: model => counts.countGroups(model),
-    canMove: (changed, model) =>
-      planRebalance({...apply(changed), movesTo: model}).length > 0,
+    canRebalance: (changed, model) =>
+      planRebalance({...apply(changed), recipientModel: model}).length > 0,
   });
   return {input: {...apply(profile), movesTo}, shifted};
 }
--- a/src/coordination/groups/engine_action.ts
+++ b/src/coordination/groups/engine_action.ts
@@ -25,7 +25,7 @@
       readonly address: string;
       readonly group?: EngineGroup;
       /** Its group has one host and never opens; its epoch rises while the order waits. */
-      readonly isParking?: boolean;
+      readonly isPreload?: boolean;
       /** The model of a `join` or `stage`. */
       readonly model?: string;
       /** It reads weights from the store, where loads are limited. */
--- a/src/coordination/groups/engine_plan_input.ts
+++ b/src/coordination/groups/engine_plan_input.ts
@@ -27,7 +27,7 @@
   /** The model that an engine was told to load and does not have yet. */
   readonly findLoading: (incarnation: string) => string | undefined;
   /** The model that the split of the hosts was just changed for; groups of others are ended for it. */
-  readonly movesTo?: string;
+  readonly recipientModel?: string;
   /** Requests are refused for want of a place at this model. */
   readonly isPressed: (model: string) => boolean;
   /** It drains or said goodbye. */
--- a/src/coordination/groups/engine_policy.ts
+++ b/src/coordination/groups/engine_policy.ts
@@ -1,13 +1,13 @@
 /** Mechanisms of the plan, all on by default; tests and experiments switch them off one by one. */
 export interface EnginePolicy {
   /** Hosts of several domains form a slow group where a model has few. */
-  readonly formsFar?: boolean;
+  readonly formsCrossDomainGroups?: boolean;
   /** Serving groups give up their hosts for a model that is worse off. */
-  readonly moves?: boolean;
+  readonly movesHosts?: boolean;
   /** A group that a silent head holds counts before hosts are moved: it is back in seconds. */
-  readonly countsHeldBeforeMoves?: boolean;
+  readonly countsHeldGroups?: boolean;
   /** Free hosts are kept for a needier model that can soon form a group of them. */
-  readonly reserves?: boolean;
+  readonly reservesHosts?: boolean;
   /** Hosts that a silent head holds count as soon free for that. */
-  readonly reservesHeld?: boolean;
+  readonly reservesHeldHosts?: boolean;
 }
--- a/src/coordination/groups/free_hosts.ts
+++ b/src/coordination/groups/free_hosts.ts
@@ -53,7 +53,7 @@
   }
 
   /** How many hosts fit. */
-  count(want: Want): number {
+  countMatching(want: Want): number {
     return this.list(want).length;
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Takes hosts out; undefined when there are too few. */
-  take(want: Want, count: number): HostView[] | undefined {
+  allocate(want: Want, count: number): HostView[] | undefined {
     const taken = this.list(want).slice(0, count);
     if (taken.length < count) {
       return undefined;
@@ -101,7 +101,7 @@
   const {backend, isLeaving, assignment} = host.report;
   const isOnProbation = now - host.lostAt < computeQuarantineMs(host.losses);
   return (
-    hostLoss.isHeard(host, now) &&
+    hostLoss.isReporting(host, now) &&
     backend !== null &&
     !isLeaving &&
     !host.isDrained &&
--- a/src/coordination/groups/group_lease.ts
+++ b/src/coordination/groups/group_lease.ts
@@ -34,7 +34,7 @@
   }
 
   /** Members whose heartbeats are needed. */
-  get others(): Group['members'] {
+  get otherMembers(): Group['members'] {
     return this.group.members.filter(member => member.hostId !== this.hostId);
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** Notes that a member answered that it is not ready, or no member any more. */
-  recordRefusal(hostId: string, askedAt: number): void {
+  recordNotReady(hostId: string, askedAt: number): void {
     this.askedAt.delete(hostId);
     this.heardAt.set(hostId, askedAt);
   }
@@ -60,7 +60,7 @@
 
   /** Members without a fresh heartbeat. */
   listMissing(now: number): string[] {
-    return this.others
+    return this.otherMembers
       .map(member => member.hostId)
       .filter(
         hostId =>
--- a/src/coordination/groups/group_plan_context.ts
+++ b/src/coordination/groups/group_plan_context.ts
@@ -11,5 +11,5 @@
   readonly free: FreeHosts;
   readonly demands: readonly ReplicaDemand[];
   /** Groups with lost members. */
-  readonly brokenIds: ReadonlySet<string>;
+  readonly brokenGroupIds: ReadonlySet<string>;
 }
--- a/src/coordination/groups/host_loss.ts
+++ b/src/coordination/groups/host_loss.ts
@@ -9,13 +9,13 @@
   /** For how long nothing was heard of it. */
   readonly silentMs: number;
   /** It is there again, but as another process that knows nothing. */
-  readonly hasForgotten: boolean;
+  readonly hasRestarted: boolean;
 }
 
 /** Tells which hosts are lost. */
 export const hostLoss = {
   /** True for a host that reported lately. */
-  isHeard(host: HostView, now: number): boolean {
+  isReporting(host: HostView, now: number): boolean {
     return now - host.seenAt <= LOST_AFTER_MS;
   },
 
@@ -26,17 +26,17 @@
     now: number,
   ): Loss | undefined {
     if (!host) {
-      return {silentMs: Infinity, hasForgotten: false};
+      return {silentMs: Infinity, hasRestarted: false};
     }
     if (host.report.incarnation !== member.incarnation) {
-      return {silentMs: now - host.lostAt, hasForgotten: true};
+      return {silentMs: now - host.lostAt, hasRestarted: true};
     }
     const missingMs =
       host.missingSince === undefined ? 0 : now - host.missingSince;
     const silentMs = Math.max(now - host.seenAt, missingMs);
     const isGone = host.report.backend === null;
     return silentMs > LOST_AFTER_MS || isGone
-      ? {silentMs, hasForgotten: false}
+      ? {silentMs, hasRestarted: false}
       : undefined;
   },
 };
--- a/src/coordination/groups/membership.ts
+++ b/src/coordination/groups/membership.ts
@@ -60,7 +60,7 @@
    * True while an earlier life of this process may still be counted as a member
    * somewhere: it must not offer itself to control yet.
    */
-  isQuiet(now: number): boolean {
+  isInStartupDelay(now: number): boolean {
     return now < this.startedAt + HEARTBEAT_LEASE_MS;
   }
 
@@ -73,12 +73,12 @@
    * True while the first member of the group that this host left may still
    * count it. A host that leads its new group must not serve before that is over.
    */
-  isBoundElsewhere(now: number): boolean {
+  isLeasedElsewhere(now: number): boolean {
     return this.boundTo !== null && this.isBound(now);
   }
 
   /** What to tell control: an old group is named until the host is free of it. */
-  describe(now: number): Assignment | null {
+  getReportedAssignment(now: number): Assignment | null {
     if (this.currentGroup) {
       return {groupId: this.currentGroup.id, epoch: this.currentGroup.epoch};
     }
@@ -97,7 +97,7 @@
     }
     const isFirst = group.members[0].hostId === asker.hostId;
     const isWaiting =
-      this.isBoundElsewhere(now) && !this.hasOldFirstMoved(asker);
+      this.isLeasedElsewhere(now) && !this.hasOldFirstMoved(asker);
     if (!isFirst || isWaiting) {
       return false;
     }
--- a/src/coordination/groups/model_counts.ts
+++ b/src/coordination/groups/model_counts.ts
@@ -35,7 +35,9 @@
    * @example
    * const counts = EngineCounts.createOfAll(input);
    */
-  static createOfAll({groups}: Pick<EnginePlanInput, 'groups'>): ModelCounts {
+  static createWithHeld({
+    groups,
+  }: Pick<EnginePlanInput, 'groups'>): ModelCounts {
     const counts = new ModelCounts(new Map(), new Map());
     groups.forEach(({model}) => counts.addGroup(model));
     return counts;
@@ -55,13 +57,13 @@
   }
 
   /** Hosts in groups for the model's share of the work; the least is the neediest. */
-  computeRank({name, size, share}: Model): number {
+  computeHostsPerShare({name, size, share}: Model): number {
     const hosts = this.countGroups(name) * size;
     return hosts / Math.max(share, Number.EPSILON);
   }
 
   /** The same with the spares that have the model. */
-  computeSupply({name, size, share}: Model): number {
+  computeSupplyPerShare({name, size, share}: Model): number {
     const hosts = this.countGroups(name) * size + (this.spares.get(name) ?? 0);
     return hosts / Math.max(share, Number.EPSILON);
   }
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -105,7 +105,7 @@
   free: readonly BackendView[],
   counts: ModelCounts,
 ): EngineReservation[] {
-  if (input.policy?.reserves === false) {
+  if (input.policy?.reservesHosts === false) {
     return [];
   }
   return input.profile.models.flatMap(model => {
@@ -130,10 +130,10 @@
   counts: ModelCounts,
   reservations: readonly EngineReservation[],
 ): BackendView[] {
-  const rank = counts.computeRank(model);
+  const rank = counts.computeHostsPerShare(model);
   const kept = new Set(
     reservations
-      .filter(({model: other}) => counts.computeRank(other) < rank)
+      .filter(({model: other}) => counts.computeHostsPerShare(other) < rank)
       .flatMap(({hosts}) => hosts),
   );
   return free.filter(host => !kept.has(host));
@@ -205,7 +205,7 @@
     hosts: chosen.map(({host}) => host),
     readyMs,
     needsLoad,
-    rank: counts.computeRank(model),
+    rank: counts.computeHostsPerShare(model),
     // At first the tightest fit, so that large gaps stay usable; later the domain that keeps most spares.
     slack: isFirstStart ? hosts.length : -hosts.length,
   };
@@ -228,7 +228,7 @@
   const isOneLeaving = input.groups.some(
     group => group.isEnding && !isHeldByUnreachableHead(group, input),
   );
-  const isLeftOut = input.policy?.formsFar === false;
+  const isLeftOut = input.policy?.formsCrossDomainGroups === false;
   if (isLeftOut || !isFarBelow || isOneLeaving || warm.length < model.size) {
     return [];
   }
@@ -243,7 +243,7 @@
       hosts,
       readyMs: Math.max(...hosts.map(host => computeReadyMs(host, model))),
       needsLoad: false,
-      rank: counts.computeRank(model),
+      rank: counts.computeHostsPerShare(model),
       slack: 0,
     },
   ];
--- a/src/coordination/groups/plan_engine_groups.ts
+++ b/src/coordination/groups/plan_engine_groups.ts
@@ -212,7 +212,7 @@
 
 function createOrder(
   kind: 'join' | 'open' | 'close' | 'leave',
-  {registration, heldModel}: BackendView,
+  {registration, loadedModel: heldModel}: BackendView,
   group: EngineGroup,
   reason: string,
 ): EngineAction {
--- a/src/coordination/groups/plan_formation.ts
+++ b/src/coordination/groups/plan_formation.ts
@@ -29,7 +29,7 @@
     const taken =
       domain === undefined
         ? undefined
-        : free.take({...demand, domain}, demand.hostsPerReplica);
+        : free.allocate({...demand, domain}, demand.hostsPerReplica);
     if (domain === undefined || !taken) {
       break;
     }
@@ -61,7 +61,7 @@
 ): string | undefined {
   return free
     .listDomains()
-    .map(domain => ({domain, count: free.count({...demand, domain})}))
+    .map(domain => ({domain, count: free.countMatching({...demand, domain})}))
     .filter(({count}) => count >= demand.hostsPerReplica)
     .sort((left, right) => left.count - right.count)[0]?.domain;
 }
--- a/src/coordination/groups/plan_groups.ts
+++ b/src/coordination/groups/plan_groups.ts
@@ -33,7 +33,7 @@
     hosts,
     free: FreeHosts.create(input),
     demands,
-    brokenIds: new Set(broken.map(group => group.id)),
+    brokenGroupIds: new Set(broken.map(group => group.id)),
   };
   const findRank = (group: Group) =>
     demands.findIndex(demand => demand.name === group.name);
@@ -68,7 +68,7 @@
     others.every(member => lost.includes(member)) &&
     others.every(member => {
       const host = hosts.get(member.hostId);
-      return host !== undefined && hostLoss.isHeard(host, now);
+      return host !== undefined && hostLoss.isReporting(host, now);
     });
   return isFirstAlone ? [first] : lost;
 }
--- a/src/coordination/groups/plan_preloads.ts
+++ b/src/coordination/groups/plan_preloads.ts
@@ -57,7 +57,7 @@
   free: readonly BackendView[],
 ): ModelCounts {
   const counts = ModelCounts.create(input);
-  for (const {registration, heldModel} of free) {
+  for (const {registration, loadedModel: heldModel} of free) {
     const model = heldModel ?? input.findLoading(registration.incarnation);
     if (model !== undefined) {
       counts.addSpare(model);
@@ -69,7 +69,8 @@
 /** The model with the fewest hosts for its share of the work comes first. */
 function sortByNeed({profile}: EnginePlanInput, counts: ModelCounts): Model[] {
   return [...profile.models].sort(
-    (left, right) => counts.computeSupply(left) - counts.computeSupply(right),
+    (left, right) =>
+      counts.computeSupplyPerShare(left) - counts.computeSupplyPerShare(right),
   );
 }
 
@@ -81,7 +82,7 @@
   reservations: readonly EngineReservation[],
 ): EngineAction[] {
   const empty = free.filter(
-    ({registration, heldModel}) =>
+    ({registration, loadedModel: heldModel}) =>
       heldModel === undefined &&
       registration.group === undefined &&
       input.findLoading(registration.incarnation) === undefined,
@@ -124,7 +125,7 @@
       isEnding: false,
       isReleased: false,
     },
-    isParking: true,
+    isPreload: true,
     model: model.name,
     isLoad: !stagedModels.includes(model.name),
     reason: 'a spare takes a model into memory',
@@ -132,7 +133,7 @@
 }
 
 function planSecondCopy(
-  {registration, heldModel}: BackendView,
+  {registration, loadedModel: heldModel}: BackendView,
   models: readonly Model[],
   {profile}: EnginePlanInput,
 ): EngineAction[] {
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -36,20 +36,21 @@
   const isOneLeaving = input.groups.some(
     group => group.isEnding && !isHeldByUnreachableHead(group, input),
   );
-  const isLeftOut = input.policy?.moves === false;
+  const isLeftOut = input.policy?.movesHosts === false;
   if (isLeftOut || !input.mayRebalance || isOneLeaving) {
     return [];
   }
   const counts =
-    input.policy?.countsHeldBeforeMoves === false
+    input.policy?.countsHeldGroups === false
       ? ModelCounts.create(input)
-      : ModelCounts.createOfAll(input);
+      : ModelCounts.createWithHeld(input);
   const needy = input.profile.models
     .filter(
       ({name}) => input.isPressed(name) || isToGetMore(name, counts, input),
     )
     .sort(
-      (left, right) => counts.computeRank(left) - counts.computeRank(right),
+      (left, right) =>
+        counts.computeHostsPerShare(left) - counts.computeHostsPerShare(right),
     );
   for (const model of needy) {
     const donors = findDonors(model, counts, input);
@@ -70,7 +71,7 @@
 function isToGetMore(
   model: string,
   counts: ModelCounts,
-  {usual, movesTo}: EnginePlanInput,
+  {usual, recipientModel: movesTo}: EnginePlanInput,
 ): boolean {
   return (
     model === movesTo && counts.countGroups(model) < (usual.get(model) ?? 0)
@@ -188,5 +189,5 @@
     return false;
   }
   const leftRank = (left * model.size) / model.share;
-  return leftRank > counts.computeRank(needy);
+  return leftRank > counts.computeHostsPerShare(needy);
 }
--- a/src/coordination/groups/plan_repair.ts
+++ b/src/coordination/groups/plan_repair.ts
@@ -57,7 +57,7 @@
 const PLANS: Record<RepairOption['action'], Plan> = {
   wait: () => undefined,
   spare: (group, lost, context) => {
-    const spares = context.free.take(
+    const spares = context.free.allocate(
       {...group, groupId: group.id},
       lost.length,
     );
@@ -99,12 +99,12 @@
   const loadMs = demand.loadSeconds * MS_PER_SECOND;
   const hasLoadedSpares =
     free.countLoaded({...group, groupId: group.id}) >= lost.length;
-  const isRejoin = lost.every((_, at) => losses[at]?.hasForgotten);
+  const isRejoin = lost.every((_, at) => losses[at]?.hasRestarted);
   const rebuildWant = (domain: string) => ({...demand, domain});
   return {
     silentMs: Math.min(...losses.map(loss => loss?.silentMs ?? 0)),
-    hasForgotten: losses.some(loss => loss?.hasForgotten === true),
-    losses: Math.max(...views.map(view => view?.losses ?? 0)),
+    hasRestarted: losses.some(loss => loss?.hasRestarted === true),
+    recentLosses: Math.max(...views.map(view => view?.losses ?? 0)),
     size: group.members.length,
     survivors: group.members.length - lost.length,
     acceleratorsPerHost: Math.max(1, ...accelerators),
@@ -115,14 +115,17 @@
         : loadMs * computeQueue(lost.length, context) + REJOIN_MS,
     rebuildLoadMs:
       loadMs * computeQueue(group.members.length, context) + REJOIN_MS,
-    hasSpares: free.count({...group, groupId: group.id}) >= lost.length,
+    hasSpares: free.countMatching({...group, groupId: group.id}) >= lost.length,
     canRebuild: free
       .listDomains()
       .filter(domain => domain !== group.domain)
-      .some(domain => free.count(rebuildWant(domain)) >= group.members.length),
+      .some(
+        domain =>
+          free.countMatching(rebuildWant(domain)) >= group.members.length,
+      ),
     donorWorth:
       donor && demands.find(wanted => wanted.name === donor.name)?.worth,
-    hasUseForSurvivors: hasUseForSurvivors(group, context),
+    canReassignSurvivors: hasUseForSurvivors(group, context),
     weights: input.bundle.weights,
   };
 }
@@ -150,7 +153,7 @@
 /** The group of lowest worth in the domain, if it is below this one's and nothing drains yet. */
 function findDonor(
   group: Group,
-  {input, demands, brokenIds}: GroupPlanContext,
+  {input, demands, brokenGroupIds: brokenIds}: GroupPlanContext,
 ): Group | undefined {
   const findWorth = (candidate: Group) =>
     demands.find(
@@ -174,7 +177,7 @@
 
 /** Another broken group of the domain could take them, or a replica is missing. */
 function hasUseForSurvivors(group: Group, context: GroupPlanContext): boolean {
-  const {input, brokenIds, demands, free} = context;
+  const {input, brokenGroupIds: brokenIds, demands, free} = context;
   const isNeighbourBroken = input.groups.some(
     other =>
       other.id !== group.id &&
@@ -189,7 +192,9 @@
         other.id !== group.id,
     );
     const reachable =
-      free.count({...demand, domain: group.domain}) + group.members.length - 1;
+      free.countMatching({...demand, domain: group.domain}) +
+      group.members.length -
+      1;
     return (
       demand.kind === group.kind &&
       demand.name !== group.name &&
--- a/src/coordination/groups/reserve_engines.ts
+++ b/src/coordination/groups/reserve_engines.ts
@@ -26,7 +26,7 @@
   input: EnginePlanInput,
 ): EngineReservation | undefined {
   const leaving = listLeaving(input);
-  const held = input.policy?.reservesHeld === false ? [] : listHeld(input);
+  const held = input.policy?.reservesHeldHosts === false ? [] : listHeld(input);
   const options = listDomains([...free, ...leaving, ...held])
     .map(domain =>
       createOption(model, domain, free, [...leaving, ...held], input),
--- a/src/coordination/groups/share_adjuster.ts
+++ b/src/coordination/groups/share_adjuster.ts
@@ -34,7 +34,7 @@
   readonly demand: Demand;
   readonly now: number;
   /** Hosts could be moved by these shares now, without a load: one takes longer than most bursts. */
-  readonly canMove: (profile: EngineProfile, model: string) => boolean;
+  readonly canRebalance: (profile: EngineProfile, model: string) => boolean;
   /** Groups that a model has, those that are being formed or taken apart among them. */
   readonly countGroups: (model: string) => number;
 }
@@ -51,7 +51,7 @@
 interface FollowResult {
   readonly profile: EngineProfile;
   /** The model that groups of others are ended for now. */
-  readonly movesTo?: string;
+  readonly recipientModel?: string;
   /** What was just changed. */
   readonly shifted?: {
     readonly from: string;
@@ -90,7 +90,7 @@
    * as many answers were late for want of the change as it costs to make it and to
    * take it back; so neither a short burst nor noise moves hosts to and fro.
    */
-  follow(input: FollowInput): FollowResult {
+  update(input: FollowInput): FollowResult {
     const {now} = input;
     const stepMs = Math.min(now - (this.lookedAt ?? now), LONGEST_STEP_MS);
     this.lookedAt = now;
@@ -102,7 +102,7 @@
     }
     const best = this.findBestShift(view, stepMs);
     if (!best) {
-      return {profile, movesTo: this.findMovesTo(view)};
+      return {profile, recipientModel: this.findMovesTo(view)};
     }
     const {from, to, key} = best;
     const missed = this.missed.get(key) ?? 0;
@@ -111,7 +111,7 @@
     this.move = {to: to.name, until: now + MOVE_WITHIN_MS};
     return {
       profile: best.profile,
-      movesTo: to.name,
+      recipientModel: to.name,
       shifted: {from: from.name, to: to.name, missed},
     };
   }
@@ -165,7 +165,7 @@
       const missed = Math.max(0, before + (gain * stepMs) / MS_PER_SECOND);
       this.missed.set(shift.key, missed);
       const isWorthIt = gain > 0 && missed > computeCost(shift, view);
-      return isWorthIt && view.canMove(shift.profile, shift.to.name)
+      return isWorthIt && view.canRebalance(shift.profile, shift.to.name)
         ? [{shift, gain}]
         : [];
     });
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -62,7 +62,7 @@
 
   /** True while the process must not offer itself to control yet. */
   isQuiet(now: number): boolean {
-    return this.membership.isQuiet(now);
+    return this.membership.isInStartupDelay(now);
   }
 
   /** Takes over what control says; true when the group or its epoch changed. */
@@ -111,7 +111,7 @@
     const leaseNow = this.options.leaseClock.now();
     const missing = this.lease?.listMissing(leaseNow) ?? [];
     // The old group may still count this host, so the new one cannot yet.
-    return this.membership.isBoundElsewhere(now)
+    return this.membership.isLeasedElsewhere(now)
       ? [this.options.hostId, ...missing]
       : missing;
   }
@@ -138,7 +138,7 @@
   describe(now: number): GroupReport {
     const {group} = this;
     return {
-      assignment: this.membership.describe(now),
+      assignment: this.membership.getReportedAssignment(now),
       told: group && {fencing: group.fencing, isDraining: group.isDraining},
       isServing: this.isServing(now),
       missing: this.isBackLately(now)
--- a/src/host/heartbeat_asker.ts
+++ b/src/host/heartbeat_asker.ts
@@ -51,7 +51,7 @@
 
   private askAll(): void {
     const {group, lease, clock} = this.options;
-    for (const member of lease.others) {
+    for (const member of lease.otherMembers) {
       const peer = this.peers.get(member.hostId);
       if (!peer?.isOpen) {
         void this.connect(member.hostId, member.address);
@@ -111,7 +111,7 @@
     if (answer.isMember) {
       lease.recordHeartbeat(answer.hostId, askedAt);
     } else {
-      lease.recordRefusal(answer.hostId, askedAt);
+      lease.recordNotReady(answer.hostId, askedAt);
     }
   }
 
--- a/test/control/backend_registry.test.ts
+++ b/test/control/backend_registry.test.ts
@@ -86,7 +86,7 @@
     registry.record(host('a', {model: undefined}).registration, 0);
     registry.recordHeld('a', 'big');
     registry.record(host('a', {sequence: 2}).registration, 1_000);
-    expect(registry.find('a')?.heldModel).toBe('big');
+    expect(registry.find('a')?.loadedModel).toBe('big');
   });
 
   test('holds nothing for sure while it joins another', () => {
@@ -96,14 +96,14 @@
     const again = host('a', {model: undefined, group: joining, sequence: 2});
     registry.record(again.registration, 1_000);
     registry.recordHeld('a', 'low');
-    expect(registry.find('a')?.heldModel).toBeUndefined();
+    expect(registry.find('a')?.loadedModel).toBeUndefined();
   });
 
   test('is believed where it tells its model itself', () => {
     const {registry} = create();
     registry.record(host('a', {model: 'low'}).registration, 0);
     registry.recordHeld('a', 'big');
-    expect(registry.find('a')?.heldModel).toBe('low');
+    expect(registry.find('a')?.loadedModel).toBe('low');
   });
 });
 
--- a/test/control/backend_starts.test.ts
+++ b/test/control/backend_starts.test.ts
@@ -36,7 +36,7 @@
     expect(call(2_000, 9, 500)).toBe(true);
 
     expect(list()).toEqual(['n@2000']);
-    expect(registry.find('n@2000')?.heldModel).toBeUndefined();
+    expect(registry.find('n@2000')?.loadedModel).toBeUndefined();
   });
 
   test('is known at another address, too', () => {
--- a/test/coordination/membership.test.ts
+++ b/test/coordination/membership.test.ts
@@ -78,7 +78,8 @@
       const {membership} = this.get(hostId);
       const owner = this.table.findByHost(hostId)?.id;
       const isIdle =
-        !membership.isQuiet(this.now) && membership.describe(this.now) === null;
+        !membership.isInStartupDelay(this.now) &&
+        membership.getReportedAssignment(this.now) === null;
       return owner === id || (owner === undefined && isIdle);
     };
     if (members.every(isFree)) {
@@ -93,7 +94,7 @@
   /** A host hears control's newest word. */
   tell(hostId: string): void {
     const host = this.get(hostId);
-    if (!host.membership.isQuiet(this.now)) {
+    if (!host.membership.isInStartupDelay(this.now)) {
       host.assign(this.table.findByHost(hostId) ?? null);
     }
   }
@@ -101,7 +102,7 @@
   ask(hostId: string): void {
     const host = this.get(hostId);
     const group = host.lease?.group;
-    for (const member of host.lease?.others ?? []) {
+    for (const member of host.lease?.otherMembers ?? []) {
       const asked = this.get(member.hostId);
       const asker = {hostId, incarnation: String(host.incarnation)};
       const ask = {groupId: group?.id ?? '', epoch: group?.epoch ?? 0};
@@ -132,7 +133,7 @@
   /** Groups and epochs that serve right now and count this host as a member. */
   listServing(hostId: string): string[] {
     return [...this.hosts.values()]
-      .filter(({membership}) => !membership.isBoundElsewhere(this.now))
+      .filter(({membership}) => !membership.isLeasedElsewhere(this.now))
       .map(({lease}) => lease)
       .filter(lease => lease?.isHeld(this.now))
       .filter(lease =>
@@ -232,11 +233,15 @@
     );
     membership.assign(null);
 
-    expect(membership.describe(5_000 + HEARTBEAT_LEASE_MS - 1)).toEqual({
+    expect(
+      membership.getReportedAssignment(5_000 + HEARTBEAT_LEASE_MS - 1),
+    ).toEqual({
       groupId: 'g',
       epoch: 1,
     });
-    expect(membership.describe(5_000 + HEARTBEAT_LEASE_MS)).toBe(null);
+    expect(membership.getReportedAssignment(5_000 + HEARTBEAT_LEASE_MS)).toBe(
+      null,
+    );
   });
 
   test('a new epoch is answered at once when the old first member itself asks under it', () => {
--- a/test/coordination/plan_groups.test.ts
+++ b/test/coordination/plan_groups.test.ts
@@ -156,7 +156,10 @@
   });
 
   test('does not take a host that was lost again and again lately', () => {
-    const flapping = createHost('h4', {losses: 3, lostAt: NOW - 20_000});
+    const flapping = createHost('h4', {
+      losses: 3,
+      lostAt: NOW - 20_000,
+    });
 
     expect(computeQuarantineMs(3)).toBe(30_000);
     expect(plan([group], [...well, lost, flapping])).toEqual([]);
@@ -198,8 +201,8 @@
 test('the weights of the bundle change the cost of an option', () => {
   const broken = {
     silentMs: 1_600,
-    hasForgotten: false,
-    losses: 0,
+    hasRestarted: false,
+    recentLosses: 0,
     size: 4,
     survivors: 3,
     acceleratorsPerHost: 8,
@@ -209,7 +212,7 @@
     hasSpares: true,
     canRebuild: false,
     donorWorth: undefined,
-    hasUseForSurvivors: false,
+    canReassignSurvivors: false,
   };
   const [kura] = computeRepairCosts({
     ...broken,
--- a/test/coordination/share_adjuster.test.ts
+++ b/test/coordination/share_adjuster.test.ts
@@ -40,7 +40,7 @@
   for (const {forMs, big, low, domains = DOMAINS} of phases) {
     for (const until = now + forMs; now < until; now += STEP_MS) {
       const factor = 1 + noise * (random() - 0.5);
-      const {profile} = follower.follow({
+      const {profile} = follower.update({
         profile: PROFILE_12_6,
         domains,
         demand: createDemand(
@@ -51,7 +51,7 @@
           ]),
         ),
         now,
-        canMove: () => true,
+        canRebalance: () => true,
         countGroups: () => 0,
       });
       const counts = computeDesiredGroups(profile, domains);
@@ -110,12 +110,12 @@
     const demand = createDemand(PROFILE_12_6, new Map([['low', 12]]));
     const unknown = {...demand.low, answerTokensPerSecond: 0};
     const results = [0, 500, 1_000, 1_500].map(now =>
-      follower.follow({
+      follower.update({
         profile: PROFILE_12_6,
         domains: DOMAINS,
         demand: {...demand, big: unknown},
         now,
-        canMove: () => true,
+        canRebalance: () => true,
         countGroups: () => 0,
       }),
     );
@@ -140,12 +140,12 @@
       let counts: number[] = [];
       for (const until = now + 20_000; now < until; now += STEP_MS) {
         const wanted = new Map(demand.map((groups, at) => [`m${at}`, groups]));
-        const followed = follower.follow({
+        const followed = follower.update({
           profile,
           domains: DOMAINS,
           demand: createDemand(profile, wanted),
           now,
-          canMove: () => true,
+          canRebalance: () => true,
           countGroups: () => 0,
         });
         const usual = computeDesiredGroups(followed.profile, DOMAINS);
@@ -203,12 +203,12 @@
       {...first, share},
       {...second, share: 1 - share},
     ];
-    const {profile} = ShareAdjuster.create().follow({
+    const {profile} = ShareAdjuster.create().update({
       profile: {...PROFILE_12_6, models},
       domains: DOMAINS,
       demand: {},
       now: 0,
-      canMove: () => true,
+      canRebalance: () => true,
       countGroups: model => (model === 'big' ? big : low),
     });
     const counts = computeDesiredGroups(profile, DOMAINS);
@@ -241,12 +241,12 @@
       {...first, share},
       {...second, share: 1 - share},
     ];
-    return follower.follow({
+    return follower.update({
       profile: {...PROFILE_12_6, models},
       domains: DOMAINS,
       demand: createDemand(PROFILE_12_6, new Map([['low', 12]])),
       now,
-      canMove: () => true,
+      canRebalance: () => true,
       countGroups: model => (model === 'big' ? 2 : 8),
     }).profile.models[0].share;
   };
--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -209,8 +209,12 @@
       profile,
       listGroupsWanted(this.options, this.now),
     );
-    return createEnginePlanInput({follower, input: configured, domains, demand})
-      .input;
+    return createEnginePlanInput({
+      adjuster: follower,
+      input: configured,
+      domains,
+      demand,
+    }).input;
   }
 
   private isLost(id: string): boolean {
@@ -248,7 +252,7 @@
   }
 
   private giveOrder(order: Order): void {
-    const {kind, incarnation, group, isParking} = order;
+    const {kind, incarnation, group, isPreload: isParking} = order;
     const host = this.hosts.get(incarnation);
     const model = this.options.profile.models.find(
       ({name}) => name === order.model,
--- a/test/support/engine_host.ts
+++ b/test/support/engine_host.ts
@@ -133,7 +133,7 @@
       group: this.group,
     };
     const {seenAt, held: heldModel} = this;
-    return {registration, seenAt, firstSeenAt: 0, heldModel};
+    return {registration, seenAt, firstSeenAt: 0, loadedModel: heldModel};
   }
 
   private keepCopy(model: string): void {
--- a/test/support/engine_plan.ts
+++ b/test/support/engine_plan.ts
@@ -47,7 +47,7 @@
     ...changes,
   };
   const {model: heldModel} = registration as BackendRegistration;
-  return {registration, seenAt, firstSeenAt: 0, heldModel};
+  return {registration, seenAt, firstSeenAt: 0, loadedModel: heldModel};
 }
 
 export function hosts(
