--- a/src/control/order_dispatcher.ts
+++ b/src/control/order_dispatcher.ts
@@ -120,7 +120,7 @@
 
   /** Gives an order, unless the same one still waits for its effect. */
   give(order: Order, profile: EngineProfile, now: number): void {
-    const {incarnation, kind, group, isPreload: isParking} = order;
+    const {incarnation, kind, group, isParking} = order;
     const key = isParking ? 'park' : `${kind} ${group?.epoch ?? ''}`;
     const {group: groupOrders, copy: copyOrders} = this.lastOrders;
     const lastOrders = kind === 'stage' ? copyOrders : groupOrders;
--- a/src/coordination/coordination_error.ts
+++ b/src/coordination/coordination_error.ts
@@ -1,4 +1,4 @@
 import {VError} from 'verror';
 
-/** A decision that cannot be made: wrong order of events, a broken invariant. */
+/** Thrown when events arrive in an impossible order or an invariant is violated. */
 export class CoordinationError extends VError {}
--- a/src/coordination/groups/backend_view.ts
+++ b/src/coordination/groups/backend_view.ts
@@ -1,11 +1,11 @@
 import {BackendRegistration} from '../../protocol/backend_registration';
 
-/** What control knows about one start of a backend server right now. */
+/** What the control plane currently knows about one process of a backend server. */
 export interface BackendView {
   readonly registration: BackendRegistration;
-  /** When the registration came, in milliseconds of control's monotonic clock. */
+  /** When the newest registration arrived, in milliseconds of the controller's monotonic clock. */
   readonly seenAt: number;
   readonly firstSeenAt: number;
-  /** The model that it held last since its start, as far as is known: it joins that at once. */
+  /** Model last known to be in its memory since it started; it can join a group of that model at once. */
   readonly loadedModel: string | undefined;
 }
--- a/src/coordination/groups/broken_group.ts
+++ b/src/coordination/groups/broken_group.ts
@@ -1,24 +1,24 @@
-/** What is known about a broken group. */
+/** Input of the repair cost model: the state of a group that lost members. */
 export interface BrokenGroup {
-  /** How long its lost members have been silent: the shortest silence. */
+  /** Time since the lost member that was heard last has been heard. */
   readonly silentMs: number;
-  /** Members that surely will not return as they were: their process is another one. */
+  /** A lost member is back as a new process, so the old one will not return. */
   readonly hasRestarted: boolean;
-  /** Most losses that one of the lost members had lately. */
+  /** Highest number of recent losses among the lost members. */
   readonly recentLosses: number;
   readonly size: number;
   readonly survivors: number;
   readonly acceleratorsPerHost: number;
   readonly worth: number;
-  /** Until a free host serves the model: loading and the weight store's queue. */
+  /** Time until a free host serves the model: the weight store's queue and the load. */
   readonly spareLoadMs: number;
-  /** Until a whole group is loaded elsewhere. */
+  /** Time until a complete group is loaded in another domain. */
   readonly rebuildLoadMs: number;
   readonly hasSpares: boolean;
   readonly canRebuild: boolean;
-  /** Worth of the cheapest group of the domain that could give hosts; undefined for none. */
+  /** Lowest worth of a group in the domain that could donate hosts; undefined for none. */
   readonly donorWorth: number | undefined;
-  /** The survivors could complete another group as soon as they are free. */
+  /** The remaining members could complete another group as soon as they are free. */
   readonly canReassignSurvivors: boolean;
   readonly weights: {
     readonly groupDowntime: number;
--- a/src/coordination/groups/compute_desired_groups.ts
+++ b/src/coordination/groups/compute_desired_groups.ts
@@ -2,30 +2,32 @@
 import {computeSpares} from './compute_spares';
 
 /**
- * How many groups of each model a pool should have: its share of the hosts,
- * without the spares. It follows from the hosts that there are, so that a new
- * leader knows it at once, also in the middle of repairs.
+ * Computes the desired number of groups of each model of a pool: its share of the
+ * hosts, spares excluded. It depends only on the present hosts, so a new leader
+ * arrives at the same result, even during repairs.
  *
- * @param domains engines of the pool that are well, counted by fabric domain
+ * @param domains number of healthy engines in each fabric domain of the pool
  * @example
- * const usual = computeUsualGroups(pool.engine, [8, 8, 8]);
+ * const desiredGroups = computeDesiredGroups(pool.engine, [8, 8, 8]);
  */
 export function computeDesiredGroups(
   {models}: EngineProfile,
   domains: readonly number[],
 ): Map<string, number> {
-  const used = computeSum(domains.map(hosts => hosts - computeSpares(hosts)));
-  const most = computeSum(domains);
-  const total = computeSum(models.map(model => model.share));
+  const usableHosts = computeSum(
+    domains.map(hosts => hosts - computeSpares(hosts)),
+  );
+  const totalHosts = computeSum(domains);
+  const totalShare = computeSum(models.map(model => model.share));
   return new Map(
     models.map(({name, size, share}) => {
-      const own = total > 0 ? (used * share) / total : 0;
-      const isWanted = share > 0 && most >= size;
-      return [name, Math.max(Math.round(own / size), isWanted ? 1 : 0)];
+      const hosts = totalShare > 0 ? (usableHosts * share) / totalShare : 0;
+      const isWanted = share > 0 && totalHosts >= size;
+      return [name, Math.max(Math.round(hosts / size), isWanted ? 1 : 0)];
     }),
   );
 }
 
 function computeSum(values: readonly number[]): number {
-  return values.reduce((total, value) => total + value, 0);
+  return values.reduce((sum, value) => sum + value, 0);
 }
--- a/src/coordination/groups/compute_quarantine_ms.ts
+++ b/src/coordination/groups/compute_quarantine_ms.ts
@@ -1,16 +1,17 @@
-/** The first loss is forgiven at once; each further one doubles the time. */
-const FIRST_PROBATION_MS = 15_000;
-const MAX_PROBATION_MS = 10 * 60_000;
+/** Quarantine after the second loss; a single loss has none, and each further one doubles it. */
+const FIRST_QUARANTINE_MS = 15_000;
+const MAX_QUARANTINE_MS = 10 * 60_000;
 
 /**
- * How long a host stays out of new groups after it was lost this often lately.
+ * Returns how long a host is kept out of new groups after this many recent losses,
+ * with exponential backoff.
  *
- * @returns milliseconds since its last loss; 0 for a host that was lost once at most
+ * @returns milliseconds from its last loss; 0 for a host that was lost once at most
  * @example
- * computeProbation(3); // 30_000
+ * computeQuarantineMs(3); // 30_000
  */
 export function computeQuarantineMs(losses: number): number {
   return losses < 2
     ? 0
-    : Math.min(MAX_PROBATION_MS, FIRST_PROBATION_MS * 2 ** (losses - 2));
+    : Math.min(MAX_QUARANTINE_MS, FIRST_QUARANTINE_MS * 2 ** (losses - 2));
 }
--- a/src/coordination/groups/compute_ready_ms.ts
+++ b/src/coordination/groups/compute_ready_ms.ts
@@ -1,21 +1,22 @@
 import {EngineProfile} from '../../protocol/engine_profile';
 import {BackendView} from './backend_view';
 
-/** A join of a model that the engine held last; the engines' own figure. */
-const HELD_JOIN_MS = 200;
+/** Time to join a group of the model that is still in memory, as the engines state it. */
+const LOADED_JOIN_MS = 200;
 
 /**
- * How long a host takes to be ready for a model, in milliseconds.
+ * Returns the milliseconds until a host can serve a model: from memory, from its own
+ * disk, or from the weight store.
  *
  * @example
  * const readyMs = computeReadyMs(host, model);
  */
 export function computeReadyMs(
-  {registration, loadedModel: heldModel}: BackendView,
+  {registration, loadedModel}: BackendView,
   model: EngineProfile['models'][number],
 ): number {
-  if (heldModel === model.name) {
-    return HELD_JOIN_MS;
+  if (loadedModel === model.name) {
+    return LOADED_JOIN_MS;
   }
   return registration.stagedModels.includes(model.name)
     ? model.warmMs
--- a/src/coordination/groups/compute_spares.ts
+++ b/src/coordination/groups/compute_spares.ts
@@ -1,11 +1,11 @@
-/** Losses that come by themselves spread with the square root of the hosts that may be lost. */
+/** Independent losses vary with the square root of the number of hosts. */
 const HOSTS_PER_SQUARED_SPARE = 2;
 
 /**
- * Hosts of one fabric domain that are kept to take the place of lost members: 2 of 8,
- * 3 of 27, 4 of 37. They cover the losses until groups are whole again, which grow as
- * the square root of the hosts and not with them, so that a large domain does not keep
- * hosts idle while its groups are full.
+ * Returns how many hosts of a fabric domain are kept as spares for lost members: 2 of 8,
+ * 3 of 27, 4 of 37. Spares cover the losses until groups are repaired. These grow with
+ * the square root of the number of hosts, so a proportional reserve would leave hosts
+ * of a large domain idle while its groups are overloaded.
  *
  * @example
  * const spares = computeSpares(37);
--- a/src/coordination/groups/count_by_domain.ts
+++ b/src/coordination/groups/count_by_domain.ts
@@ -1,10 +1,10 @@
 import {BackendView} from './backend_view';
 
 /**
- * How many engines each fabric domain has; backend servers without one are none.
+ * Counts the engines in each fabric domain; backend servers without one are not engines.
  *
  * @example
- * const usual = computeUsualGroups(profile, countByDomain(backends));
+ * const desiredGroups = computeDesiredGroups(profile, countByDomain(backends));
  */
 export function countByDomain(backends: readonly BackendView[]): number[] {
   const counts = new Map<string, number>();
--- a/src/coordination/groups/create_engine_plan_input.ts
+++ b/src/coordination/groups/create_engine_plan_input.ts
@@ -6,47 +6,44 @@
 import {EnginePlanInput} from './engine_plan_input';
 import {planRebalance} from './plan_rebalance';
 
-/** What hosts are split by. */
-interface SplitOptions {
+/** The planner's input before demand is applied, and the demand. */
+interface DemandOptions {
   readonly adjuster: ShareAdjuster;
-  /** As configured. */
+  /** With the configured shares. */
   readonly input: Omit<EnginePlanInput, 'usual'>;
-  /** Engines that are well, counted by fabric domain. */
+  /** Number of healthy engines in each fabric domain. */
   readonly domains: readonly number[];
   readonly demand: Readonly<Record<string, ModelDemand>>;
 }
 
 /**
- * Makes the input of a plan whose shares follow what callers ask for, and tells what
- * was changed in them just now.
+ * Creates the planner's input with model shares adjusted to demand, and returns the
+ * change of shares that was just made, if any.
  *
  * @example
- * const {input, shifted} = splitHosts({follower, input, domains, demand});
+ * const {input, shifted} = createEnginePlanInput({adjuster, input, domains, demand});
  */
 export function createEnginePlanInput({
-  adjuster: follower,
+  adjuster,
   input,
   domains,
   demand,
-}: SplitOptions) {
-  const apply = (profile: EngineProfile): EnginePlanInput => ({
+}: DemandOptions) {
+  const applyShares = (profile: EngineProfile): EnginePlanInput => ({
     ...input,
     profile,
     usual: computeDesiredGroups(profile, domains),
   });
   const counts = ModelCounts.createWithHeld(input);
-  const {
-    profile,
-    shifted,
-    recipientModel: movesTo,
-  } = follower.update({
+  const {profile, shifted, recipientModel} = adjuster.update({
     profile: input.profile,
     domains,
     demand,
     now: input.now,
     countGroups: model => counts.countGroups(model),
     canRebalance: (changed, model) =>
-      planRebalance({...apply(changed), recipientModel: model}).length > 0,
+      planRebalance({...applyShares(changed), recipientModel: model}).length >
+      0,
   });
-  return {input: {...apply(profile), movesTo}, shifted};
+  return {input: {...applyShares(profile), recipientModel}, shifted};
 }
--- a/src/coordination/groups/engine_action.ts
+++ b/src/coordination/groups/engine_action.ts
@@ -1,9 +1,9 @@
 import {EngineGroup} from '../../protocol/engine_group';
 
-/** The kinds of order that an engine takes. */
+/** Orders that an engine executes. */
 type OrderKind = 'join' | 'open' | 'close' | 'leave' | 'stage';
 
-/** One step towards the groups that are wanted. */
+/** One planned step towards the desired groups. */
 export type EngineAction =
   | {
       readonly type: 'set-group';
@@ -15,7 +15,7 @@
       readonly name: string;
       readonly epoch: number;
       readonly reason: string;
-      /** Nothing is lost: its hosts move to a better use. */
+      /** The group lost no member; its hosts are reassigned. */
       readonly isMove?: boolean;
     }
   | {
@@ -24,11 +24,11 @@
       readonly incarnation: string;
       readonly address: string;
       readonly group?: EngineGroup;
-      /** Its group has one host and never opens; its epoch rises while the order waits. */
-      readonly isPreload?: boolean;
-      /** The model of a `join` or `stage`. */
+      /** Loads a free host's memory through a single-host group that never opens; its epoch may rise while the order waits. */
+      readonly isParking?: boolean;
+      /** Model to load for a `join` or `stage`. */
       readonly model?: string;
-      /** It reads weights from the store, where loads are limited. */
+      /** It reads weights from the weight store, where loads are limited. */
       readonly isLoad: boolean;
       readonly reason: string;
     };
--- a/src/coordination/groups/engine_plan_input.ts
+++ b/src/coordination/groups/engine_plan_input.ts
@@ -3,41 +3,41 @@
 import {BackendView} from './backend_view';
 import {EnginePolicy} from './engine_policy';
 
-/** What a plan for the engines of one pool is made from. */
+/** Input of the planner for the engines of one pool. */
 export interface EnginePlanInput {
   readonly pool: string;
   readonly profile: EngineProfile;
   /** The committed groups of the pool. */
   readonly groups: readonly EngineGroup[];
-  /** Backend servers of the pool that were heard. */
+  /** Backend servers of the pool that have registered. */
   readonly backends: readonly BackendView[];
-  /** Groups that each model should have for its share of the work, spares aside. */
+  /** Desired number of groups per model by its share of the load, spares excluded. */
   readonly usual: ReadonlyMap<string, number>;
-  /** No host has any weights: nobody is served yet, so groups may wait for loads. */
+  /** Cold start: no host has weights and nothing is served yet, so groups may wait for loads. */
   readonly isFirstStart: boolean;
   readonly now: number;
-  /** Silence after which a backend server is given no part in a new group. */
+  /** Time without a heartbeat after which a backend server joins no new group. */
   readonly silentAfterMs: number;
-  /** A new leader does not take a member that it never heard for lost. */
+  /** A new leader is in its grace period: members that it has not heard yet do not count as lost. */
   readonly isStillListening: boolean;
-  /** False for a while after hosts were moved, so that they do not go to and fro. */
+  /** False for a while after hosts were reassigned, so that they do not oscillate. */
   readonly mayRebalance: boolean;
-  /** An epoch that no engine has seen a higher one of: the newest place in the log. */
+  /** The newest log index, which is at least as high as any epoch that an engine has seen. */
   readonly epoch: number;
-  /** The model that an engine was told to load and does not have yet. */
+  /** Returns the model that an engine was ordered to load and has not loaded yet. */
   readonly findLoading: (incarnation: string) => string | undefined;
-  /** The model that the split of the hosts was just changed for; groups of others are ended for it. */
+  /** Model whose share was just raised; groups of other models are ended for it. */
   readonly recipientModel?: string;
-  /** Requests are refused for want of a place at this model. */
+  /** The model is overloaded: its requests are refused for lack of free slots. */
   readonly isPressed: (model: string) => boolean;
-  /** It drains or said goodbye. */
+  /** The backend server is draining or has announced that it stops. */
   readonly isRetired: (incarnation: string) => boolean;
-  /** It does not answer, so its group has stalled or soon will. */
+  /** The backend server does not answer, so its group has stalled or soon will. */
   readonly isLost: (incarnation: string) => boolean;
-  /** Its head, silent or dead, is proved to count on no member any more. */
+  /** The unreachable or dead head is known to use none of its members any more. */
   readonly isLetGo: (group: EngineGroup) => boolean;
-  /** A member has left that the head may still count on. */
+  /** A member has left that the head may still rely on. */
   readonly hasLeaver: (group: EngineGroup) => boolean;
-  /** Mechanisms to do without; none by default. */
+  /** Mechanisms to disable; none by default. */
   readonly policy?: EnginePolicy;
 }
--- a/src/coordination/groups/engine_policy.ts
+++ b/src/coordination/groups/engine_policy.ts
@@ -1,13 +1,13 @@
-/** Mechanisms of the plan, all on by default; tests and experiments switch them off one by one. */
+/** Mechanisms of the planner, all enabled by default; tests and experiments disable them one by one. */
 export interface EnginePolicy {
-  /** Hosts of several domains form a slow group where a model has few. */
+  /** Hosts of several domains form a slower group if a model has few groups. */
   readonly formsCrossDomainGroups?: boolean;
-  /** Serving groups give up their hosts for a model that is worse off. */
+  /** Serving groups give up their hosts to a model with greater need. */
   readonly movesHosts?: boolean;
-  /** A group that a silent head holds counts before hosts are moved: it is back in seconds. */
+  /** Groups held by an unreachable head count when moves are planned, since they return within seconds. */
   readonly countsHeldGroups?: boolean;
-  /** Free hosts are kept for a needier model that can soon form a group of them. */
+  /** Free hosts are reserved for a model with greater need that can soon form a group of them. */
   readonly reservesHosts?: boolean;
-  /** Hosts that a silent head holds count as soon free for that. */
+  /** Hosts held by an unreachable head count as soon available for reservations. */
   readonly reservesHeldHosts?: boolean;
 }
--- a/src/coordination/groups/estimate_late_fraction.ts
+++ b/src/coordination/groups/estimate_late_fraction.ts
@@ -3,18 +3,18 @@
 
 const MS_PER_SECOND = 1_000;
 /**
- * How steeply answers turn late as groups fill up: work comes in clumps, so some are
- * late before the last place is taken, and nearly none at half of it.
+ * Exponent of the utilization. Arrivals are bursty, so some answers are late
+ * before the last slot is taken, and almost none at half utilization.
  */
-const STEEPNESS = 8;
-/** Of what full groups answer so much is late. */
-const LATE_WHEN_FULL = 0.6;
+const UTILIZATION_EXPONENT = 8;
+/** Fraction of answers that is late when the groups are exactly at capacity. */
+const LATE_FRACTION_AT_CAPACITY = 0.6;
 
-/** A model without a group is worse off than any other, by a finite figure that can be compared. */
-const LEAST_GROUPS = 0.1;
+/** Divisor for a model without groups: its result is the highest, but finite and comparable. */
+const MIN_GROUPS = 0.1;
 
-/** Whose answers, and how many groups share the work. */
-interface CrowdingInput {
+/** The model, its demand, and the number of groups that share the load. */
+interface LateFractionInput {
   readonly profile: EngineProfile;
   readonly model: EngineProfile['models'][number];
   readonly demand: ModelDemand;
@@ -22,30 +22,33 @@
 }
 
 /**
- * How much a model's answers suffer when so many groups share its work: the part of
- * them that is late, until the groups are full, and more than all beyond, since what
- * they cannot do then waits beside all that comes after.
+ * Estimates the fraction of a model's answers that are late when its load is shared
+ * by this many groups. Beyond capacity it exceeds 1, since the backlog also delays
+ * later requests.
  *
- * A pass of an engine takes the longer the more requests write in it, and reading
- * prompts takes time from writing. So a group is full when the time that reading and
- * the requests themselves take, and the places that are held meanwhile, use it up.
+ * An engine's pass takes longer the more requests decode in it, and prefill takes
+ * time from decoding. A group is therefore at capacity when the time for prefill,
+ * the time that each request adds, and the occupied slots use it up.
  *
- * @returns 0 without any demand
+ * @returns 0 without demand
  * @example
- * const crowding = computeCrowding({profile, model, demand, groups: 6});
+ * const lateFraction = estimateLateFraction({profile, model, demand, groups: 6});
  */
-export function estimateLateFraction(input: CrowdingInput): number {
+export function estimateLateFraction(input: LateFractionInput): number {
   const {profile, model, demand, groups} = input;
   if (demand.requestsPerSecond <= 0) {
     return 0;
   }
   const {promptTokensPerSecond, answerTokensPerSecond} = demand;
-  const reading = promptTokensPerSecond / profile.promptTokensPerSecond;
-  const writing =
+  const prefillLoad = promptTokensPerSecond / profile.promptTokensPerSecond;
+  const decodeLoad =
     (answerTokensPerSecond * profile.stepMsPerRequest) / MS_PER_SECOND;
-  const held = (answerTokensPerSecond * profile.stepMs) / MS_PER_SECOND;
-  const needed = model.pace * (reading + writing + held / profile.slots);
+  const occupiedSlots =
+    (answerTokensPerSecond * profile.stepMs) / MS_PER_SECOND;
+  const groupsAtCapacity =
+    model.pace * (prefillLoad + decodeLoad + occupiedSlots / profile.slots);
   return (
-    LATE_WHEN_FULL * (needed / Math.max(groups, LEAST_GROUPS)) ** STEEPNESS
+    LATE_FRACTION_AT_CAPACITY *
+    (groupsAtCapacity / Math.max(groups, MIN_GROUPS)) ** UTILIZATION_EXPONENT
   );
 }
--- a/src/coordination/groups/estimate_recovery.ts
+++ b/src/coordination/groups/estimate_recovery.ts
@@ -1,28 +1,31 @@
-/** Estimates whether a silent host comes back, from how long it has been silent. */
+/** Estimates whether an unreachable host returns, from how long nothing was heard of it. */
 
-/** Silences that end by themselves (pauses, lost packets, quick restarts) last about this long. */
-const SHORT_OUTAGE_MS = 4_000;
-/** The share of silences that are short, as long as nothing else is known. */
-const SHORT_SHARE = 0.7;
+/** Mean duration of transient outages: process pauses, lost packets, quick restarts. */
+const TRANSIENT_OUTAGE_MS = 4_000;
+/** Prior probability that an outage is transient. */
+const TRANSIENT_PRIOR = 0.7;
 
-/** What to expect of a silent host. */
-interface ReturnEstimate {
-  /** Probability that it returns soon. */
+/** Expected recovery of an unreachable host. */
+interface RecoveryEstimate {
+  /** Probability that the outage is transient. */
   readonly probability: number;
-  /** Milliseconds until then, if it does. */
+  /** Mean remaining milliseconds, if it is. */
   readonly meanMs: number;
 }
 
 /**
- * Weighs a short outage against a lasting one: short ones end at a constant
- * rate, so each further second of silence speaks for a lasting one.
+ * Computes the posterior probability of a transient outage. Transient ones end at a
+ * constant rate, so each further second without a report makes a permanent one likelier.
  *
- * @param silentMs how long nothing was heard
+ * @param silentMs time since the last report
  * @example
- * computeReturn(2_000).probability; // about 0.59
+ * estimateRecovery(2_000).probability; // about 0.59
  */
-export function estimateRecovery(silentMs: number): ReturnEstimate {
-  const short = SHORT_SHARE * Math.exp(-silentMs / SHORT_OUTAGE_MS);
-  const lasting = 1 - SHORT_SHARE;
-  return {probability: short / (short + lasting), meanMs: SHORT_OUTAGE_MS};
+export function estimateRecovery(silentMs: number): RecoveryEstimate {
+  const transient = TRANSIENT_PRIOR * Math.exp(-silentMs / TRANSIENT_OUTAGE_MS);
+  const permanent = 1 - TRANSIENT_PRIOR;
+  return {
+    probability: transient / (transient + permanent),
+    meanMs: TRANSIENT_OUTAGE_MS,
+  };
 }
--- a/src/coordination/groups/free_hosts.ts
+++ b/src/coordination/groups/free_hosts.ts
@@ -1,29 +1,29 @@
-/** Hosts that may join a group, given out one by one while a plan is made. */
+/** Tracks the hosts that may join a group while a plan allocates them. */
 import {Group} from '../../protocol/group';
 import {computeQuarantineMs} from './compute_quarantine_ms';
 import {GroupPlanInput} from './group_plan_input';
 import {hostLoss} from './host_loss';
 import {HostView} from './host_view';
 
-/** What a host is wanted for. */
-interface Want {
+/** What a host must match to be allocated. */
+interface HostRequirement {
   readonly kind: Group['kind'];
   readonly name: string;
   readonly domain: string;
-  /** The group that may also take back hosts that it still names. */
+  /** Group to allocate for; hosts that it still lists as members are eligible, too. */
   readonly groupId?: string;
 }
 
-/** Free hosts of one plan. */
+/** The free hosts that a plan has not allocated yet. */
 export class FreeHosts {
   private constructor(
     private hosts: readonly HostView[],
-    /** Group of each host that is named in one, under whatever incarnation. */
-    private readonly owners: ReadonlyMap<string, string>,
+    /** Group id of each host that a group lists, under any incarnation. */
+    private readonly groupIds: ReadonlyMap<string, string>,
   ) {}
 
   /**
-   * Finds the hosts that are well, on no probation, and by their own word in no group.
+   * Collects the hosts that are healthy, not quarantined, and report no group.
    *
    * @example
    * const free = FreeHosts.create(input);
@@ -32,86 +32,90 @@
     const members = input.groups.flatMap(group =>
       group.members.map(member => ({groupId: group.id, ...member})),
     );
-    const owners = new Map(
+    const groupIds = new Map(
       members.map(({hostId, groupId}) => [hostId, groupId]),
     );
-    const named = new Set(
+    const listed = new Set(
       members.map(({hostId, incarnation}) => `${hostId}/${incarnation}`),
     );
     const hosts = input.hosts
       .filter(host => isUsable(host, input.now))
       .filter(
-        ({report}) => !named.has(`${report.hostId}/${report.incarnation}`),
+        ({report}) => !listed.has(`${report.hostId}/${report.incarnation}`),
       )
-      .sort(compareStanding);
-    return new FreeHosts(hosts, owners);
+      .sort(compareByLosses);
+    return new FreeHosts(hosts, groupIds);
   }
 
-  /** Fabric domains with free hosts. */
+  /** Lists the fabric domains with free hosts. */
   listDomains(): string[] {
     return [...new Set(this.hosts.map(host => host.report.domain))];
   }
 
-  /** How many hosts fit. */
-  countMatching(want: Want): number {
-    return this.list(want).length;
+  /** Counts the hosts that match. */
+  countMatching(requirement: HostRequirement): number {
+    return this.list(requirement).length;
   }
 
-  /** How many of those run what is wanted already. */
-  countLoaded(want: Want): number {
-    return this.list(want).filter(
-      host => host.report.backend?.name === want.name,
+  /** Counts the matching hosts that already run the model or service. */
+  countLoaded(requirement: HostRequirement): number {
+    return this.list(requirement).filter(
+      host => host.report.backend?.name === requirement.name,
     ).length;
   }
 
-  /** Takes hosts out; undefined when there are too few. */
-  allocate(want: Want, count: number): HostView[] | undefined {
-    const taken = this.list(want).slice(0, count);
-    if (taken.length < count) {
+  /** Removes and returns that many matching hosts; undefined if there are too few. */
+  allocate(
+    requirement: HostRequirement,
+    count: number,
+  ): HostView[] | undefined {
+    const allocated = this.list(requirement).slice(0, count);
+    if (allocated.length < count) {
       return undefined;
     }
-    this.hosts = this.hosts.filter(host => !taken.includes(host));
-    return taken;
+    this.hosts = this.hosts.filter(host => !allocated.includes(host));
+    return allocated;
   }
 
-  /** Those that already run what is wanted come first: they need not load it. */
-  private list(want: Want): HostView[] {
-    const fitting = this.hosts.filter(host => this.isFit(host, want));
+  /** Hosts that already run the model or service come first, since they need no load. */
+  private list(requirement: HostRequirement): HostView[] {
+    const matching = this.hosts.filter(host => this.isMatch(host, requirement));
     const hasLoaded = (host: HostView) =>
-      host.report.backend?.name === want.name;
+      host.report.backend?.name === requirement.name;
     return [
-      ...fitting.filter(hasLoaded),
-      ...fitting.filter(host => !hasLoaded(host)),
+      ...matching.filter(hasLoaded),
+      ...matching.filter(host => !hasLoaded(host)),
     ];
   }
 
-  private isFit(host: HostView, want: Want): boolean {
+  private isMatch(host: HostView, requirement: HostRequirement): boolean {
     const {backend, domain, hostId} = host.report;
-    // An engine takes orders to load another model; a service is what it is.
+    // An engine can be ordered to load another model; a service cannot change.
     const isRightBackend =
-      backend?.kind === want.kind &&
-      (want.kind === 'model' || backend.name === want.name);
-    const owner = this.owners.get(hostId);
-    const isUnowned = owner === undefined || owner === want.groupId;
-    return isRightBackend && domain === want.domain && isUnowned;
+      backend?.kind === requirement.kind &&
+      (requirement.kind === 'model' || backend.name === requirement.name);
+    const groupId = this.groupIds.get(hostId);
+    const isAvailable =
+      groupId === undefined || groupId === requirement.groupId;
+    return isRightBackend && domain === requirement.domain && isAvailable;
   }
 }
 
 function isUsable(host: HostView, now: number): boolean {
   const {backend, isLeaving, assignment} = host.report;
-  const isOnProbation = now - host.lostAt < computeQuarantineMs(host.losses);
+  const isQuarantined = now - host.lostAt < computeQuarantineMs(host.losses);
   return (
     hostLoss.isReporting(host, now) &&
     backend !== null &&
     !isLeaving &&
     !host.isDrained &&
-    !isOnProbation &&
-    // Only a host that itself says it belongs to no group may join another.
+    !isQuarantined &&
+    // A host may join a group only once it reports no assignment itself.
     assignment === null
   );
 }
 
-function compareStanding(left: HostView, right: HostView): number {
+function compareByLosses(left: HostView, right: HostView): number {
   return (
     left.losses - right.losses ||
     (left.report.hostId < right.report.hostId ? -1 : 1)
--- a/src/coordination/groups/group_action.ts
+++ b/src/coordination/groups/group_action.ts
@@ -1,6 +1,6 @@
 import {Group} from '../../protocol/group';
 
-/** A change of groups that the planner wants committed. */
+/** A change to the groups that the planner proposes for commit. */
 export type GroupAction =
   | {readonly type: 'set-group'; readonly group: Group; readonly reason: string}
   | {
--- a/src/coordination/groups/group_lease.ts
+++ b/src/coordination/groups/group_lease.ts
@@ -1,13 +1,13 @@
-/** The first member's right to serve: a fresh heartbeat from every other member. */
+/** The lease under which a group's first member serves: a recent heartbeat from every other member. */
 import {Group} from '../../protocol/group';
 import {HEARTBEAT_LEASE_MS} from './heartbeat_lease_ms';
 
 /** Tracks the heartbeats of one group under one epoch. */
 export class GroupLease {
-  /** For each other member, when its newest answered heartbeat was asked for. */
-  private readonly askedAt = new Map<string, number>();
-  /** The same for answers of any kind, also of members that are not ready. */
-  private readonly heardAt = new Map<string, number>();
+  /** Time of the request that each other member last answered with a heartbeat. */
+  private readonly heartbeatAskedAt = new Map<string, number>();
+  /** Time of the request that each member last answered with "not ready". */
+  private readonly notReadyAskedAt = new Map<string, number>();
 
   private constructor(
     readonly group: Group,
@@ -17,7 +17,7 @@
   ) {}
 
   /**
-   * Creates a lease without any heartbeat: the group does not serve yet.
+   * Creates a lease without heartbeats, so the group does not serve yet.
    *
    * @param hostId the first member's own id
    * @param now milliseconds on the first member's clock
@@ -33,42 +33,46 @@
     return new GroupLease(group, hostId, now, leaseMs);
   }
 
-  /** Members whose heartbeats are needed. */
+  /** Members whose heartbeats the lease requires. */
   get otherMembers(): Group['members'] {
     return this.group.members.filter(member => member.hostId !== this.hostId);
   }
 
-  /** Notes an answered heartbeat by the time before it was asked for. */
+  /** Records an answered heartbeat by the time of its request, so that a late answer is not recent. */
   recordHeartbeat(hostId: string, askedAt: number): void {
-    const earlier = this.askedAt.get(hostId) ?? -Infinity;
-    this.askedAt.set(hostId, Math.max(earlier, askedAt));
+    const earlier = this.heartbeatAskedAt.get(hostId) ?? -Infinity;
+    this.heartbeatAskedAt.set(hostId, Math.max(earlier, askedAt));
   }
 
-  /** Notes that a member answered that it is not ready, or no member any more. */
+  /** Records that a member answered that it is not ready or no longer a member. */
   recordNotReady(hostId: string, askedAt: number): void {
-    this.askedAt.delete(hostId);
-    this.heardAt.set(hostId, askedAt);
+    this.heartbeatAskedAt.delete(hostId);
+    this.notReadyAskedAt.set(hostId, askedAt);
   }
 
-  /** Members that do not answer at all: lost, not just starting. */
+  /** Lists members that do not answer at all, so they are lost and not just starting. */
   listSilent(now: number): string[] {
     return this.listMissing(now).filter(hostId => {
-      const heardAt = this.heardAt.get(hostId) ?? this.startedAt;
-      return heardAt <= now - this.leaseMs;
+      const notReadyAskedAt =
+        this.notReadyAskedAt.get(hostId) ?? this.startedAt;
+      return notReadyAskedAt <= now - this.leaseMs;
     });
   }
 
-  /** Members without a fresh heartbeat. */
+  /** Lists members without a recent heartbeat. */
   listMissing(now: number): string[] {
     return this.otherMembers
       .map(member => member.hostId)
       .filter(
         hostId =>
-          !((this.askedAt.get(hostId) ?? -Infinity) > now - this.leaseMs),
+          !(
+            (this.heartbeatAskedAt.get(hostId) ?? -Infinity) >
+            now - this.leaseMs
+          ),
       );
   }
 
-  /** True while every member is known to be present. */
+  /** True while every other member has a recent heartbeat. */
   isHeld(now: number): boolean {
     return this.listMissing(now).length === 0;
   }
--- a/src/coordination/groups/group_plan_input.ts
+++ b/src/coordination/groups/group_plan_input.ts
@@ -2,12 +2,12 @@
 import {Group} from '../../protocol/group';
 import {HostView} from './host_view';
 
-/** What a plan of groups is made from. */
+/** Input of the planner for replica groups. */
 export interface GroupPlanInput {
   readonly bundle: Bundle;
   readonly groups: readonly Group[];
   readonly hosts: readonly HostView[];
-  /** Last epoch of a group id, 0 when it never was. */
+  /** Returns the last epoch of a group id, 0 if it was never used. */
   readonly findEpoch: (groupId: string) => number;
   readonly now: number;
 }
--- a/src/coordination/groups/heartbeat_lease_ms.ts
+++ b/src/coordination/groups/heartbeat_lease_ms.ts
@@ -1,5 +1,6 @@
 /**
- * Milliseconds that a member's heartbeat counts, from when it was asked for.
- * Members rely on the same figure when they wait before joining elsewhere.
+ * Milliseconds that a member's heartbeat is valid, from the time of its request.
+ * Members wait for the same time before they join another group, so both sides
+ * must use one value.
  */
 export const HEARTBEAT_LEASE_MS = 700;
--- a/src/coordination/groups/host_loss.ts
+++ b/src/coordination/groups/host_loss.ts
@@ -1,25 +1,25 @@
 import {Group} from '../../protocol/group';
 import {HostView} from './host_view';
 
-/** Silence after which a host counts as lost; several report intervals. */
+/** Time without a report after which a host counts as lost; several report intervals. */
 const LOST_AFTER_MS = 1_500;
 
 /** How a member was lost. */
 interface Loss {
-  /** For how long nothing was heard of it. */
+  /** Time since it was last heard. */
   readonly silentMs: number;
-  /** It is there again, but as another process that knows nothing. */
+  /** It is back as a new process without its state. */
   readonly hasRestarted: boolean;
 }
 
-/** Tells which hosts are lost. */
+/** Detects lost hosts from their reports. */
 export const hostLoss = {
-  /** True for a host that reported lately. */
+  /** True if the host has reported recently. */
   isReporting(host: HostView, now: number): boolean {
     return now - host.seenAt <= LOST_AFTER_MS;
   },
 
-  /** Whether and how a member was lost; undefined for one that is well. */
+  /** Returns how a member was lost; undefined for a healthy one. */
   find(
     member: Group['members'][number],
     host: HostView | undefined,
@@ -34,8 +34,8 @@
     const missingMs =
       host.missingSince === undefined ? 0 : now - host.missingSince;
     const silentMs = Math.max(now - host.seenAt, missingMs);
-    const isGone = host.report.backend === null;
-    return silentMs > LOST_AFTER_MS || isGone
+    const hasNoBackend = host.report.backend === null;
+    return silentMs > LOST_AFTER_MS || hasNoBackend
       ? {silentMs, hasRestarted: false}
       : undefined;
   },
--- a/src/coordination/groups/host_view.ts
+++ b/src/coordination/groups/host_view.ts
@@ -1,16 +1,16 @@
 import {HostReport} from '../../protocol/host_report';
 
-/** What control knows about one host process right now. */
+/** What the control plane currently knows about one host process. */
 export interface HostView {
   readonly report: HostReport;
-  /** When the report came, in milliseconds of control's monotonic clock. */
+  /** When the report arrived, in milliseconds of the controller's monotonic clock. */
   readonly seenAt: number;
-  /** Since when a first member says that it does not hear this host. */
+  /** Since when a first member has reported this host as missing. */
   readonly missingSince?: number;
-  /** How often it was lost within the last minutes. */
+  /** Number of times it was lost within the last minutes. */
   readonly losses: number;
   /** When it was last lost. */
   readonly lostAt: number;
-  /** An operator ordered it out of service. */
+  /** An operator has ordered it to drain. */
   readonly isDrained: boolean;
 }
--- a/src/coordination/groups/is_held_by_unreachable_head.ts
+++ b/src/coordination/groups/is_held_by_unreachable_head.ts
@@ -2,12 +2,12 @@
 import {EnginePlanInput} from './engine_plan_input';
 
 /**
- * True for a group that is being taken apart and whose head cannot be asked to
- * let go: its members are of no use for seconds. A new leader has not heard
- * from such a head at all.
+ * Checks whether an ending group has a head that cannot be asked to release its
+ * members, so that they stay unusable for some seconds. A new leader may not have
+ * heard from such a head at all.
  *
  * @example
- * const leaving = groups.filter(group => group.isEnding && !isHeldBySilentHead(group, input));
+ * const released = groups.filter(group => group.isEnding && !isHeldByUnreachableHead(group, input));
  */
 export function isHeldByUnreachableHead(
   {isEnding, isReleased, members}: EngineGroup,
--- a/src/coordination/groups/list_free_engines.ts
+++ b/src/coordination/groups/list_free_engines.ts
@@ -2,14 +2,14 @@
 import {EnginePlanInput} from './engine_plan_input';
 
 /**
- * Lists the engines that are well, belong to no committed group, and stay, in a
- * fixed order.
+ * Lists the engines that are healthy, in no committed group and not leaving. The
+ * order is fixed, so that plans are deterministic.
  *
  * @example
  * const free = listFreeEngines(input);
  */
 export function listFreeEngines(input: EnginePlanInput): BackendView[] {
-  const taken = new Set(
+  const assigned = new Set(
     input.groups.flatMap(group =>
       group.members.map(member => member.incarnation),
     ),
@@ -21,7 +21,7 @@
       return (
         domain !== undefined &&
         !isServing &&
-        !taken.has(incarnation) &&
+        !assigned.has(incarnation) &&
         !input.isRetired(incarnation) &&
         !input.isLost(incarnation) &&
         input.now - seenAt < input.silentAfterMs
--- a/src/coordination/groups/list_replica_demands.ts
+++ b/src/coordination/groups/list_replica_demands.ts
@@ -2,10 +2,10 @@
 import {ReplicaDemand} from './replica_demand';
 
 /**
- * Lists what a bundle asks for, most worth first.
+ * Lists the replicas that a bundle requests, highest worth first.
  *
  * @example
- * const demands = listDemands(bundle);
+ * const demands = listReplicaDemands(bundle);
  */
 export function listReplicaDemands(bundle: Bundle): ReplicaDemand[] {
   const models = bundle.models.map(model => ({
--- a/src/coordination/groups/model_counts.ts
+++ b/src/coordination/groups/model_counts.ts
@@ -1,11 +1,11 @@
-/** How many groups each model has, and which model lacks hosts most. */
+/** Counts each model's groups and spares, and compares its hosts with its share of the load. */
 import {EngineProfile} from '../../protocol/engine_profile';
 import {EnginePlanInput} from './engine_plan_input';
 import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 
 type Model = EngineProfile['models'][number];
 
-/** Counts that follow while one plan is made. */
+/** Running counts per model while one plan is computed. */
 export class ModelCounts {
   private constructor(
     private readonly groups: Map<string, number>,
@@ -13,11 +13,11 @@
   ) {}
 
   /**
-   * Counts the committed groups. One that ends is soon formed anew from its
-   * hosts, unless a silent head holds them.
+   * Counts the committed groups. An ending group counts, since it is soon formed
+   * again from its hosts, unless an unreachable head holds them.
    *
    * @example
-   * const counts = EngineCounts.create(input);
+   * const counts = ModelCounts.create(input);
    */
   static create(input: EnginePlanInput): ModelCounts {
     const counts = new ModelCounts(new Map(), new Map());
@@ -28,12 +28,12 @@
   }
 
   /**
-   * Counts every committed group, also those that a silent head holds: they are
-   * back within seconds, which is less than hosts that were moved take to load
-   * what they gave up.
+   * Counts every committed group, including those held by an unreachable head.
+   * They return within seconds, sooner than reassigned hosts could reload the
+   * model that they gave up.
    *
    * @example
-   * const counts = EngineCounts.createOfAll(input);
+   * const counts = ModelCounts.createWithHeld(input);
    */
   static createWithHeld({
     groups,
@@ -47,7 +47,7 @@
     this.groups.set(model, this.countGroups(model) + 1);
   }
 
-  /** Notes a host outside of groups that has this model, or is loading it. */
+  /** Records a host outside of groups that has this model in memory or is loading it. */
   addSpare(model: string): void {
     this.spares.set(model, (this.spares.get(model) ?? 0) + 1);
   }
@@ -56,13 +56,13 @@
     return this.groups.get(model) ?? 0;
   }
 
-  /** Hosts in groups for the model's share of the work; the least is the neediest. */
+  /** Hosts in groups divided by the model's share of the load; the lowest value has the greatest need. */
   computeHostsPerShare({name, size, share}: Model): number {
     const hosts = this.countGroups(name) * size;
     return hosts / Math.max(share, Number.EPSILON);
   }
 
-  /** The same with the spares that have the model. */
+  /** Like `computeHostsPerShare`, with the spares that have the model. */
   computeSupplyPerShare({name, size, share}: Model): number {
     const hosts = this.countGroups(name) * size + (this.spares.get(name) ?? 0);
     return hosts / Math.max(share, Number.EPSILON);
--- a/src/coordination/groups/plan_consolidation.ts
+++ b/src/coordination/groups/plan_consolidation.ts
@@ -13,7 +13,7 @@
  * a group of the same model within one domain and without a load.
  *
  * @example
- * const actions = planUpgrades(input);
+ * const actions = planConsolidation(input);
  */
 export function planConsolidation(input: EnginePlanInput): EngineAction[] {
   const domains = new Map(
--- a/src/coordination/groups/plan_preloads.ts
+++ b/src/coordination/groups/plan_preloads.ts
@@ -21,7 +21,7 @@
  * @param taken incarnations that the same plan puts into groups
  * @param reservations hosts that wait for a group of one model
  * @example
- * const orders = planWeights(input, taken, reservations);
+ * const orders = planPreloads(input, taken, reservations);
  */
 export function planPreloads(
   input: EnginePlanInput,
@@ -125,7 +125,7 @@
       isEnding: false,
       isReleased: false,
     },
-    isPreload: true,
+    isParking: true,
     model: model.name,
     isLoad: !stagedModels.includes(model.name),
     reason: 'a spare takes a model into memory',
--- a/src/coordination/groups/repair_option.ts
+++ b/src/coordination/groups/repair_option.ts
@@ -1,11 +1,11 @@
-/** One way to deal with a broken group, and what it is expected to cost. */
+/** One way to repair a broken group, and its expected cost. */
 export interface RepairOption {
   /**
-   * - `wait`: keep the group as it is for now
-   * - `spare`: replace lost members by free hosts of the same domain
-   * - `rebuild`: give the survivors up and form the group in another domain
-   * - `take`: replace lost members by hosts of a group of lower worth
-   * - `break-up`: free the survivors
+   * - `wait`: leave the group unchanged for now
+   * - `spare`: replace lost members with free hosts of the same domain
+   * - `rebuild`: remove the group and form it in another domain
+   * - `take`: drain a group of lower worth for its hosts
+   * - `break-up`: remove the group and free the remaining members
    */
   readonly action: 'wait' | 'spare' | 'rebuild' | 'take' | 'break-up';
   /** Weighted accelerator-seconds. */
--- a/src/coordination/groups/share_adjuster.ts
+++ b/src/coordination/groups/share_adjuster.ts
@@ -78,7 +78,7 @@
    * Creates one that goes by the configured shares.
    *
    * @example
-   * const follower = DemandFollower.create();
+   * const follower = ShareAdjuster.create();
    * const {profile} = follower.follow({profile: pool.engine, domains, demand, now, canMove, countGroups});
    */
   static create(): ShareAdjuster {
--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -252,7 +252,7 @@
   }
 
   private giveOrder(order: Order): void {
-    const {kind, incarnation, group, isPreload: isParking} = order;
+    const {kind, incarnation, group, isParking} = order;
     const host = this.hosts.get(incarnation);
     const model = this.options.profile.models.find(
       ({name}) => name === order.model,
