--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -11,50 +11,53 @@
 import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 import {reserveEngines} from './reserve_engines';
 
-/** Between the domains of a group that spans several. */
-const FAR_SEPARATOR = '+';
-/** Part of a model's usual groups below which slow ones help: they take spares that near ones will need. */
-const FAR_BELOW_SHARE = 0.5;
+/** Joins the domain names of a group that spans several. */
+const DOMAIN_SEPARATOR = '+';
+/**
+ * Fraction of a model's desired groups below which cross-domain groups are formed. Above
+ * it, the spares that they take are worth more to single-domain groups.
+ */
+const CROSS_DOMAIN_BELOW_FRACTION = 0.5;
 
 type Model = EngineProfile['models'][number];
 
 /** Hosts that could form one group. */
-interface Option {
+interface FormationOption {
   readonly model: Model;
   readonly domain: string;
   readonly hosts: readonly BackendView[];
-  /** Until the slowest of them is ready. */
+  /** Milliseconds until the slowest host is ready. */
   readonly readyMs: number;
-  /** Its members are in several domains: it runs, but slower. */
-  readonly isFar: boolean;
-  /** Somebody has to read weights from the store. */
+  /** Its members are in several domains, so it runs slower. */
+  readonly isCrossDomain: boolean;
+  /** At least one host has to read weights from the weight store. */
   readonly needsLoad: boolean;
-  /** The model has fewer groups than it should. */
-  readonly isBelowUsual: boolean;
-  /** Hosts of the model for its share of the work, before this group. */
-  readonly rank: number;
-  /** Breaks ties between domains, the least first. */
-  readonly slack: number;
+  /** The model has fewer groups than desired. */
+  readonly isBelowDesired: boolean;
+  /** Hosts of the model relative to its share of the load, without this group. */
+  readonly hostsPerShare: number;
+  /** Breaks ties between domains, the lowest first. */
+  readonly domainOrder: number;
 }
 
-/** New groups, and the free hosts that wait for one. */
+/** New groups, and the free hosts that are reserved for later ones. */
 interface EngineFormation {
   readonly actions: readonly EngineAction[];
   readonly reservations: readonly EngineReservation[];
 }
 
 /**
- * Plans new groups: those that need no load first, then for the model that has
- * the fewest hosts for its share of the work. Hosts that such a model can soon
- * use are kept from models that need them less.
+ * Plans new groups: first those that need no load, then for the model with the
+ * fewest hosts relative to its share of the load. Hosts that such a model can use
+ * soon are reserved, so that models with less need do not take them.
  *
- * @param mayBeFar groups over several domains may be formed, too
+ * @param allowsCrossDomain whether groups over several domains may be formed
  * @example
  * const {actions, reservations} = planEngineFormation(input);
  */
 export function planEngineFormation(
   input: EnginePlanInput,
-  mayBeFar = true,
+  allowsCrossDomain = true,
 ): EngineFormation {
   const actions: EngineAction[] = [];
   let free = listFreeEngines(input);
@@ -67,13 +70,13 @@
       free,
       counts,
       reservations,
-      mayBeFar,
+      allowsCrossDomain,
     ).sort(compareOptions);
     if (!option) {
       return {actions, reservations};
     }
     const {model, hosts, domain, readyMs} = option;
-    const name = findFreeName(model.name, names);
+    const name = findUnusedName(model.name, names);
     names.add(name);
     counts.addGroup(model.name);
     free = free.filter(host => !hosts.includes(host));
@@ -99,7 +102,7 @@
   }
 }
 
-/** One for each model that lacks groups and can form none of the free hosts now. */
+/** Reserves hosts for each model that lacks groups and can form none from the free hosts now. */
 function listReservations(
   input: EnginePlanInput,
   free: readonly BackendView[],
@@ -109,13 +112,13 @@
     return [];
   }
   return input.profile.models.flatMap(model => {
-    const isLacking =
-      input.isPressed(model.name) || isBelowUsual(model, input, counts);
-    return (isLacking && reserveEngines(model, free, input)) || [];
+    const lacksGroups =
+      input.isPressed(model.name) || isBelowDesired(model, input, counts);
+    return (lacksGroups && reserveEngines(model, free, input)) || [];
   });
 }
 
-function isBelowUsual(
+function isBelowDesired(
   {name}: Model,
   {usual}: EnginePlanInput,
   counts: ModelCounts,
@@ -123,32 +126,34 @@
   return counts.countGroups(name) < (usual.get(name) ?? 0);
 }
 
-/** Without those that wait for a group of a needier model. */
+/** Lists the free hosts that are not reserved for a model with greater need. */
 function listUnreserved(
   model: Model,
   free: readonly BackendView[],
   counts: ModelCounts,
   reservations: readonly EngineReservation[],
 ): BackendView[] {
-  const rank = counts.computeHostsPerShare(model);
-  const kept = new Set(
+  const hostsPerShare = counts.computeHostsPerShare(model);
+  const reserved = new Set(
     reservations
-      .filter(({model: other}) => counts.computeHostsPerShare(other) < rank)
+      .filter(
+        ({model: other}) => counts.computeHostsPerShare(other) < hostsPerShare,
+      )
       .flatMap(({hosts}) => hosts),
   );
-  return free.filter(host => !kept.has(host));
+  return free.filter(host => !reserved.has(host));
 }
 
-function compareOptions(left: Option, right: Option): number {
+function compareOptions(left: FormationOption, right: FormationOption): number {
   return (
     Number(left.needsLoad) - Number(right.needsLoad) ||
-    Number(left.isFar) - Number(right.isFar) ||
-    Number(right.isBelowUsual) - Number(left.isBelowUsual) ||
-    left.rank - right.rank ||
-    // What is left over more often fits the smaller model.
+    Number(left.isCrossDomain) - Number(right.isCrossDomain) ||
+    Number(right.isBelowDesired) - Number(left.isBelowDesired) ||
+    left.hostsPerShare - right.hostsPerShare ||
+    // Larger models first: the remaining hosts are more likely to fit a smaller one.
     right.model.size - left.model.size ||
     left.readyMs - right.readyMs ||
-    left.slack - right.slack
+    left.domainOrder - right.domainOrder
   );
 }
 
@@ -157,16 +162,18 @@
   free: readonly BackendView[],
   counts: ModelCounts,
   reservations: readonly EngineReservation[],
-  mayBeFar: boolean,
-): Option[] {
+  allowsCrossDomain: boolean,
+): FormationOption[] {
   return input.profile.models.flatMap(model => {
     const hosts = listUnreserved(model, free, counts, reservations);
     const domains = new Set(hosts.map(host => host.registration.domain ?? ''));
-    const near = [...domains].flatMap(
+    const singleDomain = [...domains].flatMap(
       domain => findOption(model, domain, input, hosts, counts) ?? [],
     );
-    const far = mayBeFar ? findFarOption(model, input, hosts, counts) : [];
-    return [...near, ...far];
+    const crossDomain = allowsCrossDomain
+      ? findCrossDomainOption(model, input, hosts, counts)
+      : [];
+    return [...singleDomain, ...crossDomain];
   });
 }
 
@@ -176,8 +183,8 @@
   input: EnginePlanInput,
   free: readonly BackendView[],
   counts: ModelCounts,
-): Option | undefined {
-  const isLacking = isBelowUsual(model, input, counts);
+): FormationOption | undefined {
+  const isBelow = isBelowDesired(model, input, counts);
   const hosts = free.filter(host => host.registration.domain === domain);
   if (hosts.length < model.size) {
     return undefined;
@@ -191,60 +198,69 @@
     .slice(0, model.size);
   const {readyMs} = chosen[chosen.length - 1];
   const needsLoad = readyMs >= model.loadMs;
-  const spares = countSpares(model, domain, input, isLacking, needsLoad);
-  // Later on weights are loaded before a group waits for them.
+  const spares = countSpares(model, domain, input, isBelow, needsLoad);
+  // After the cold start, weights are loaded before a group is formed with them.
   const {isFirstStart} = input;
   if (hosts.length - spares < model.size || (needsLoad && !isFirstStart)) {
     return undefined;
   }
   return {
-    isFar: false,
-    isBelowUsual: isLacking,
+    isCrossDomain: false,
+    isBelowDesired: isBelow,
     model,
     domain,
     hosts: chosen.map(({host}) => host),
     readyMs,
     needsLoad,
-    rank: counts.computeHostsPerShare(model),
-    // At first the tightest fit, so that large gaps stay usable; later the domain that keeps most spares.
-    slack: isFirstStart ? hosts.length : -hosts.length,
+    hostsPerShare: counts.computeHostsPerShare(model),
+    // Best fit at the cold start, so that large domains stay usable; later the domain that keeps most spares.
+    domainOrder: isFirstStart ? hosts.length : -hosts.length,
   };
 }
 
 /**
- * Hosts of several domains that hold the weights and would otherwise serve
- * nobody: a slow replica is better than none.
+ * Finds hosts of several domains that have the weights and would otherwise be idle,
+ * since a slow replica is better than none.
  */
-function findFarOption(
+function findCrossDomainOption(
   model: Model,
   input: EnginePlanInput,
   free: readonly BackendView[],
   counts: ModelCounts,
-): Option[] {
-  const usual = input.usual.get(model.name) ?? 0;
-  const isFarBelow = counts.countGroups(model.name) < usual * FAR_BELOW_SHARE;
-  const warm = free.filter(host => computeReadyMs(host, model) < model.loadMs);
-  // Hosts that are about to be free can often form a near one.
-  const isOneLeaving = input.groups.some(
+): FormationOption[] {
+  const desiredGroups = input.usual.get(model.name) ?? 0;
+  const isFewGroups =
+    counts.countGroups(model.name) <
+    desiredGroups * CROSS_DOMAIN_BELOW_FRACTION;
+  const hostsWithWeights = free.filter(
+    host => computeReadyMs(host, model) < model.loadMs,
+  );
+  // Hosts that are about to be free can often form a single-domain group.
+  const isAnyEnding = input.groups.some(
     group => group.isEnding && !isHeldByUnreachableHead(group, input),
   );
-  const isLeftOut = input.policy?.formsCrossDomainGroups === false;
-  if (isLeftOut || !isFarBelow || isOneLeaving || warm.length < model.size) {
+  const isDisabled = input.policy?.formsCrossDomainGroups === false;
+  if (
+    isDisabled ||
+    !isFewGroups ||
+    isAnyEnding ||
+    hostsWithWeights.length < model.size
+  ) {
     return [];
   }
-  const hosts = warm.slice(0, model.size);
+  const hosts = hostsWithWeights.slice(0, model.size);
   const domains = new Set(hosts.map(host => host.registration.domain));
   return [
     {
-      isFar: true,
-      isBelowUsual: isFarBelow,
+      isCrossDomain: true,
+      isBelowDesired: isFewGroups,
       model,
-      domain: [...domains].join(FAR_SEPARATOR),
+      domain: [...domains].join(DOMAIN_SEPARATOR),
       hosts,
       readyMs: Math.max(...hosts.map(host => computeReadyMs(host, model))),
       needsLoad: false,
-      rank: counts.computeHostsPerShare(model),
-      slack: 0,
+      hostsPerShare: counts.computeHostsPerShare(model),
+      domainOrder: 0,
     },
   ];
 }
@@ -253,15 +269,18 @@
   return host.registration.stagedModels.length;
 }
 
-/** Repairs may take every spare, pressed models all but one, others none. */
+/**
+ * Returns how many hosts of a domain must stay spare: none for models with fewer groups
+ * than desired, one for overloaded models, and the usual number otherwise.
+ */
 function countSpares(
   model: Model,
   domain: string,
   input: EnginePlanInput,
-  isLacking: boolean,
+  isBelow: boolean,
   needsLoad: boolean,
 ): number {
-  if (!needsLoad && isLacking) {
+  if (!needsLoad && isBelow) {
     return 0;
   }
   if (!needsLoad && input.isPressed(model.name)) {
@@ -273,7 +292,7 @@
   return computeSpares(hosts.length);
 }
 
-function findFreeName(model: string, names: ReadonlySet<string>): string {
+function findUnusedName(model: string, names: ReadonlySet<string>): string {
   let number = 1;
   while (names.has(`${model}-${number}`)) {
     number += 1;
--- a/src/coordination/groups/share_adjuster.ts
+++ b/src/coordination/groups/share_adjuster.ts
@@ -1,7 +1,7 @@
 /**
- * Decides which part of a pool's hosts each model should have, by what callers ask
- * for. The load that it answers: one model's callers become more, or a fabric domain
- * is lost, and that model's groups are full while the other's stand half empty.
+ * Adjusts the models' shares of a pool's hosts to demand. It handles two cases in
+ * which one model's groups are overloaded while another's are half idle: a rise of
+ * one model's traffic, and the loss of a fabric domain.
  */
 import {EngineProfile} from '../../protocol/engine_profile';
 import {ModelDemand} from '../../protocol/model_demand';
@@ -9,37 +9,37 @@
 import {computeDesiredGroups} from './compute_desired_groups';
 
 const MS_PER_SECOND = 1_000;
-/** Part of the time that a model does without one of its groups, so that a split must bear the next loss. */
-const GROUP_AWAY_SHARE = 0.1;
-/** A move that costs nothing by the figures still needs a reason. */
-const LEAST_COST = 1;
-/** With fewer groups the next loss would leave a model without any. */
-const LEAST_GROUPS = 2;
-/** What is moved may have to be moved back. */
+/** Fraction of time for which a model is assumed to lack one group, so that shares allow for the next loss. */
+const GROUP_DOWN_FRACTION = 0.1;
+/** Minimum cost of a shift in late answers, so that one with an estimate of zero still needs evidence. */
+const MIN_SHIFT_COST = 1;
+/** With fewer groups, the next loss would leave a model without any. */
+const MIN_GROUPS = 2;
+/** A shift may have to be reverted, so it must pay for both moves. */
 const MOVES_TO_PAY = 2;
-/** A look that comes later than this says nothing about the time between. */
-const LONGEST_STEP_MS = 1_000;
-/** Longer than a group takes to open, shorter than a load. */
-const MOVE_WITHIN_MS = 3_000;
+/** Longest interval between two updates that counts; a demand sample says nothing about a longer one. */
+const MAX_STEP_MS = 1_000;
+/** Time after which a shift no longer ends groups; longer than a group takes to open, shorter than a load. */
+const MOVE_TIMEOUT_MS = 3_000;
 
 type Model = EngineProfile['models'][number];
 type Demand = Readonly<Record<string, ModelDemand>>;
 
-/** What one look is made from. */
-interface FollowInput {
-  /** As configured: its shares hold until there is demand. */
+/** Input of one update. */
+interface UpdateInput {
+  /** The configured profile; its shares apply until there is demand. */
   readonly profile: EngineProfile;
-  /** Engines that are well, counted by fabric domain. */
+  /** Number of healthy engines in each fabric domain. */
   readonly domains: readonly number[];
   readonly demand: Demand;
   readonly now: number;
-  /** Hosts could be moved by these shares now, without a load: one takes longer than most bursts. */
+  /** Checks whether hosts could be moved for these shares now and without a load, which outlasts most bursts. */
   readonly canRebalance: (profile: EngineProfile, model: string) => boolean;
-  /** Groups that a model has, those that are being formed or taken apart among them. */
+  /** Counts the groups of a model, including those that are forming or ending. */
   readonly countGroups: (model: string) => number;
 }
 
-/** Hosts of one model that another may get. */
+/** A candidate transfer of hosts from one model to another. */
 interface Shift {
   readonly key: string;
   readonly from: Model;
@@ -47,54 +47,56 @@
   readonly profile: EngineProfile;
 }
 
-/** The split to plan by. */
-interface FollowResult {
+/** The shares to plan with. */
+interface UpdateResult {
   readonly profile: EngineProfile;
-  /** The model that groups of others are ended for now. */
+  /** Model for which groups of other models are ended at present. */
   readonly recipientModel?: string;
-  /** What was just changed. */
+  /** The shift that was just made. */
   readonly shifted?: {
     readonly from: string;
     readonly to: string;
-    /** Answers that were late for want of it. */
+    /** Answers that were late because it had not been made. */
     readonly missed: number;
   };
 }
 
-/** One for each pool. */
+/** Adjusts the shares of one pool. */
 export class ShareAdjuster {
   private shares: ReadonlyMap<string, number> | undefined;
-  /** Answers that were late because a shift was not made, by shift. */
+  /** Answers that were late because a shift had not been made, by shift key. */
   private readonly missed = new Map<string, number>();
-  private lookedAt: number | undefined;
-  /** The configured shares that it began with. */
+  private updatedAt: number | undefined;
+  /** The configured models in JSON, to detect changes. */
   private configured: string | undefined;
-  /** The model whose new hosts are not all there yet, and how long groups are ended for it. */
-  private move: {readonly to: string; readonly until: number} | undefined;
+  /** Model that still lacks hosts of its last shift, and how long groups are ended for it. */
+  private pendingMove:
+    {readonly to: string; readonly until: number} | undefined;
 
   private constructor() {}
 
   /**
-   * Creates one that goes by the configured shares.
+   * Creates an adjuster that starts from the configured shares.
    *
    * @example
-   * const follower = ShareAdjuster.create();
-   * const {profile} = follower.follow({profile: pool.engine, domains, demand, now, canMove, countGroups});
+   * const adjuster = ShareAdjuster.create();
+   * const {profile} = adjuster.update({profile: pool.engine, domains, demand, now, canRebalance, countGroups});
    */
   static create(): ShareAdjuster {
     return new ShareAdjuster();
   }
 
   /**
-   * Tells the profile with the shares to plan by. They change one group at a time, once
-   * as many answers were late for want of the change as it costs to make it and to
-   * take it back; so neither a short burst nor noise moves hosts to and fro.
+   * Returns the profile with the shares to plan with. They change by one group at a
+   * time, and only once the answers that were late without the shift outnumber those
+   * that making and reverting it would delay. So neither short bursts nor noise make
+   * hosts oscillate.
    */
-  update(input: FollowInput): FollowResult {
+  update(input: UpdateInput): UpdateResult {
     const {now} = input;
-    const stepMs = Math.min(now - (this.lookedAt ?? now), LONGEST_STEP_MS);
-    this.lookedAt = now;
-    this.takeConfigured(input);
+    const stepMs = Math.min(now - (this.updatedAt ?? now), MAX_STEP_MS);
+    this.updatedAt = now;
+    this.applyConfigured(input);
     const profile = this.createProfile(input.profile);
     const view = {...input, profile};
     if (!Object.values(input.demand).every(isKnown)) {
@@ -102,13 +104,13 @@
     }
     const best = this.findBestShift(view, stepMs);
     if (!best) {
-      return {profile, recipientModel: this.findMovesTo(view)};
+      return {profile, recipientModel: this.findRecipient(view)};
     }
     const {from, to, key} = best;
     const missed = this.missed.get(key) ?? 0;
     this.missed.clear();
     this.setShares(best.profile);
-    this.move = {to: to.name, until: now + MOVE_WITHIN_MS};
+    this.pendingMove = {to: to.name, until: now + MOVE_TIMEOUT_MS};
     return {
       profile: best.profile,
       recipientModel: to.name,
@@ -116,8 +118,8 @@
     };
   }
 
-  /** Shares that an operator changed hold at once; a new leader goes on with the split that it finds. */
-  private takeConfigured(input: FollowInput): void {
+  /** Applies changed configured shares at once; a new leader continues with the shares that the groups show. */
+  private applyConfigured(input: UpdateInput): void {
     const configured = JSON.stringify(
       input.profile.models.map(({name, size, share}) => [name, size, share]),
     );
@@ -127,63 +129,65 @@
     const isNew = this.configured === undefined;
     this.configured = configured;
     this.shares = undefined;
-    this.move = undefined;
+    this.pendingMove = undefined;
     this.missed.clear();
     if (isNew) {
-      this.takeOver(input);
+      this.restoreShares(input);
     }
   }
 
-  /** Makes the shifts that the groups which are there show to have been made. */
-  private takeOver({profile, domains, countGroups}: FollowInput): void {
+  /** Infers from the existing groups which shifts a former leader made, and applies them. */
+  private restoreShares({profile, domains, countGroups}: UpdateInput): void {
     const total = profile.models.reduce(
       (sum, {name}) => sum + countGroups(name),
       0,
     );
-    let split = profile;
+    let adjusted = profile;
     for (let step = 0; step < total; step += 1) {
-      const usual = computeDesiredGroups(split, domains);
-      const made = listShifts({profile: split, domains}).find(
+      const desiredGroups = computeDesiredGroups(adjusted, domains);
+      const shiftMade = listShifts({profile: adjusted, domains}).find(
         ({from, to}) =>
-          countGroups(from.name) < (usual.get(from.name) ?? 0) &&
-          countGroups(to.name) > (usual.get(to.name) ?? 0),
+          countGroups(from.name) < (desiredGroups.get(from.name) ?? 0) &&
+          countGroups(to.name) > (desiredGroups.get(to.name) ?? 0),
       );
-      if (!made) {
+      if (!shiftMade) {
         return;
       }
-      split = made.profile;
-      this.setShares(split);
+      adjusted = shiftMade.profile;
+      this.setShares(adjusted);
     }
   }
 
-  /** The shift that gains most of those that have become worth their cost. */
-  private findBestShift(view: FollowInput, stepMs: number): Shift | undefined {
-    const lateNow = computeLateOf(view);
-    const worthy = listShifts(view).flatMap(shift => {
-      const gain = lateNow - computeLateOf({...view, ...shift});
+  /** Finds the shift with the highest gain among those that are worth their cost. */
+  private findBestShift(view: UpdateInput, stepMs: number): Shift | undefined {
+    const lateNow = computeLateOfView(view);
+    const worthwhile = listShifts(view).flatMap(shift => {
+      const gain = lateNow - computeLateOfView({...view, ...shift});
       const before = this.missed.get(shift.key) ?? 0;
       const missed = Math.max(0, before + (gain * stepMs) / MS_PER_SECOND);
       this.missed.set(shift.key, missed);
-      const isWorthIt = gain > 0 && missed > computeCost(shift, view);
+      const isWorthIt = gain > 0 && missed > computeShiftCost(shift, view);
       return isWorthIt && view.canRebalance(shift.profile, shift.to.name)
         ? [{shift, gain}]
         : [];
     });
-    return worthy.sort((left, right) => right.gain - left.gain)[0]?.shift;
+    return worthwhile.sort((left, right) => right.gain - left.gain)[0]?.shift;
   }
 
-  /** A move may wait for a group that is being formed, but not until its reason is gone. */
-  private findMovesTo(view: FollowInput): string | undefined {
-    const {move} = this;
-    if (!move) {
+  /** Returns the model of the pending move. A move may wait for a forming group, but only for a limited time. */
+  private findRecipient(view: UpdateInput): string | undefined {
+    const {pendingMove} = this;
+    if (!pendingMove) {
       return undefined;
     }
-    const usual = computeDesiredGroups(view.profile, view.domains);
-    const isMade = view.countGroups(move.to) >= (usual.get(move.to) ?? 0);
-    if (isMade || view.now > move.until) {
-      this.move = undefined;
+    const desiredGroups = computeDesiredGroups(view.profile, view.domains);
+    const isMade =
+      view.countGroups(pendingMove.to) >=
+      (desiredGroups.get(pendingMove.to) ?? 0);
+    if (isMade || view.now > pendingMove.until) {
+      this.pendingMove = undefined;
     }
-    return this.move?.to;
+    return this.pendingMove?.to;
   }
 
   private setShares({models}: EngineProfile): void {
@@ -204,38 +208,39 @@
   }
 }
 
-/** How long answers are is known once the first ones have ended. */
+/** The length of answers is known once the first ones have ended. */
 function isKnown({requestsPerSecond, answerTokensPerSecond}: ModelDemand) {
   return requestsPerSecond === 0 || answerTokensPerSecond > 0;
 }
 
-/** Each model may give another the hosts of one of its groups, or of one of the other's. */
+/** Lists the possible shifts. Each transfers the hosts of one group, of the larger of both models' sizes. */
 function listShifts({
   profile,
   domains,
-}: Pick<FollowInput, 'profile' | 'domains'>): Shift[] {
+}: Pick<UpdateInput, 'profile' | 'domains'>): Shift[] {
   const {models} = profile;
   const total = models.reduce((sum, {share}) => sum + share, 0);
-  const usual = computeDesiredGroups(profile, domains);
+  const desiredGroups = computeDesiredGroups(profile, domains);
   const hosts = models.reduce(
-    (sum, {name, size}) => sum + (usual.get(name) ?? 0) * size,
+    (sum, {name, size}) => sum + (desiredGroups.get(name) ?? 0) * size,
     0,
   );
   return models.flatMap(from =>
     models
       .filter(to => to.name !== from.name)
       .flatMap(to => {
-        const moved = (total * Math.max(from.size, to.size)) / hosts;
-        const given = Math.max(1, Math.ceil(to.size / from.size));
-        const isLast = (usual.get(from.name) ?? 0) - given < LEAST_GROUPS;
+        const movedShare = (total * Math.max(from.size, to.size)) / hosts;
+        const donatedGroups = Math.max(1, Math.ceil(to.size / from.size));
+        const leavesTooFew =
+          (desiredGroups.get(from.name) ?? 0) - donatedGroups < MIN_GROUPS;
         const shifted = models.map(model => {
           const change =
             Number(model.name === to.name) - Number(model.name === from.name);
-          return {...model, share: model.share + change * moved};
+          return {...model, share: model.share + change * movedShare};
         });
         const isPossible = shifted.every(({share}) => share > 0);
         const key = `${from.name} to ${to.name}`;
-        return isLast || !isPossible
+        return leavesTooFew || !isPossible
           ? []
           : [{key, from, to, profile: {...profile, models: shifted}}];
       }),
@@ -243,26 +248,34 @@
 }
 
 /**
- * Late answers that a shift brings about until its hosts serve again, there and back.
- * What runs at the groups that end is finished before they do.
+ * Computes how many answers a shift makes late until its hosts serve again, for the
+ * move and its reversal. Ending groups finish their running requests first.
  */
-function computeCost({from, to}: Shift, view: FollowInput): number {
+function computeShiftCost({from, to}: Shift, view: UpdateInput): number {
   const {profile, domains, demand} = view;
-  const usual = computeDesiredGroups(profile, domains);
-  const own = usual.get(from.name) ?? 0;
-  const given = Math.max(1, Math.ceil(to.size / from.size));
-  const without = new Map(usual).set(from.name, own - given);
+  const desiredGroups = computeDesiredGroups(profile, domains);
+  const donorGroups = desiredGroups.get(from.name) ?? 0;
+  const donatedGroups = Math.max(1, Math.ceil(to.size / from.size));
+  const duringMove = new Map(desiredGroups).set(
+    from.name,
+    donorGroups - donatedGroups,
+  );
   const lostPerSecond =
-    computeLate(profile, demand, without) - computeLate(profile, demand, usual);
+    computeLatePerSecond(profile, demand, duringMove) -
+    computeLatePerSecond(profile, demand, desiredGroups);
   const seconds = (to.warmMs + profile.openMs) / MS_PER_SECOND;
-  return MOVES_TO_PAY * Math.max(LEAST_COST, seconds * lostPerSecond);
+  return MOVES_TO_PAY * Math.max(MIN_SHIFT_COST, seconds * lostPerSecond);
 }
 
-function computeLateOf({profile, domains, demand}: FollowInput): number {
-  return computeLate(profile, demand, computeDesiredGroups(profile, domains));
+function computeLateOfView({profile, domains, demand}: UpdateInput): number {
+  return computeLatePerSecond(
+    profile,
+    demand,
+    computeDesiredGroups(profile, domains),
+  );
 }
 
-function computeLate(
+function computeLatePerSecond(
   profile: EngineProfile,
   demandByModel: Demand,
   counts: ReadonlyMap<string, number>,
@@ -273,13 +286,20 @@
     if (!demand) {
       return sum;
     }
-    const whole = estimateLateFraction({profile, model, demand, groups});
-    // A group is away for seconds only: its answers are late then, and nothing piles up.
-    const lacking = Math.min(
+    const withAllGroups = estimateLateFraction({
+      profile,
+      model,
+      demand,
+      groups,
+    });
+    // A group is down for seconds only: its answers are late, but no backlog builds up.
+    const withOneDown = Math.min(
       1,
       estimateLateFraction({profile, model, demand, groups: groups - 1}),
     );
-    const late = whole * (1 - GROUP_AWAY_SHARE) + lacking * GROUP_AWAY_SHARE;
-    return sum + late * demand.requestsPerSecond;
+    const lateFraction =
+      withAllGroups * (1 - GROUP_DOWN_FRACTION) +
+      withOneDown * GROUP_DOWN_FRACTION;
+    return sum + lateFraction * demand.requestsPerSecond;
   }, 0);
 }
