--- a/src/coordination/groups/plan_consolidation.ts
+++ b/src/coordination/groups/plan_consolidation.ts
@@ -1,4 +1,4 @@
-/** Decides when a slow group over several domains can give way to a near one. */
+/** Plans when a slow cross-domain group can be replaced with one in a single domain. */
 import {EngineGroup} from '../../protocol/engine_group';
 import {computeReadyMs} from './compute_ready_ms';
 import {EngineAction} from './engine_action';
@@ -6,11 +6,11 @@
 import {listFreeEngines} from './list_free_engines';
 
 /** Fabric domains of backend servers, by incarnation. */
-type Domains = ReadonlyMap<string, string | undefined>;
+type DomainByIncarnation = ReadonlyMap<string, string | undefined>;
 
 /**
- * Ends groups over several domains whose hosts, with the free ones, could form
- * a group of the same model within one domain and without a load.
+ * Ends a cross-domain group if its hosts and the free ones could form a group of the
+ * same model in one domain without a load.
  *
  * @example
  * const actions = planConsolidation(input);
@@ -22,22 +22,22 @@
       registration.domain,
     ]),
   );
-  const far = input.groups.find(
+  const crossDomain = input.groups.find(
     group =>
       !group.isEnding &&
-      isFar(group, domains) &&
+      isCrossDomain(group, domains) &&
       !isNeeded(group, input) &&
-      canBeNear(group, input, domains),
+      canFitOneDomain(group, input, domains),
   );
-  if (!far) {
+  if (!crossDomain) {
     return [];
   }
-  const {name, epoch} = far;
+  const {name, epoch} = crossDomain;
   const reason = 'its hosts and free ones can form a group in one domain';
   return [{type: 'end-group', name, epoch, reason, isMove: true}];
 }
 
-/** A slow group finishes its work slowly; meanwhile nobody would serve a model that has no other. */
+/** Checks whether an overloaded model has no other group: it would not be served while this one slowly drains. */
 function isNeeded(
   {name, model}: EngineGroup,
   {groups, isPressed}: EnginePlanInput,
@@ -48,27 +48,33 @@
   return !hasOther && isPressed(model);
 }
 
-function listDomains({members}: EngineGroup, domains: Domains): string[] {
+function listDomains(
+  {members}: EngineGroup,
+  domains: DomainByIncarnation,
+): string[] {
   return members.flatMap(({incarnation}) => domains.get(incarnation) ?? []);
 }
 
-function isFar(group: EngineGroup, domains: Domains): boolean {
+function isCrossDomain(
+  group: EngineGroup,
+  domains: DomainByIncarnation,
+): boolean {
   return new Set(listDomains(group, domains)).size > 1;
 }
 
-function canBeNear(
+function canFitOneDomain(
   group: EngineGroup,
   input: EnginePlanInput,
-  known: Domains,
+  domainByIncarnation: DomainByIncarnation,
 ): boolean {
   const model = input.profile.models.find(({name}) => name === group.model);
   if (!model) {
     return false;
   }
-  const ready = listFreeEngines(input)
+  const readyDomains = listFreeEngines(input)
     .filter(host => computeReadyMs(host, model) < model.loadMs)
     .map(host => host.registration.domain ?? '');
-  const domains = [...ready, ...listDomains(group, known)];
+  const domains = [...readyDomains, ...listDomains(group, domainByIncarnation)];
   return domains.some(
     domain => domains.filter(other => other === domain).length >= model.size,
   );
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -270,8 +270,9 @@
 }
 
 /**
- * Returns how many hosts of a domain must stay spare: none for models with fewer groups
- * than desired, one for overloaded models, and the usual number otherwise.
+ * Returns how many hosts of a domain must stay spare. Without a load, repairs of a
+ * model below its desired groups may use every spare, and overloaded models all but
+ * one; otherwise no spare may be used.
  */
 function countSpares(
   model: Model,
--- a/src/coordination/groups/plan_engine_groups.ts
+++ b/src/coordination/groups/plan_engine_groups.ts
@@ -1,4 +1,4 @@
-/** Decides the next steps for the engines of one pool. */
+/** Plans the next steps for the engine groups of one pool. */
 import {EngineGroup} from '../../protocol/engine_group';
 import {BackendView} from './backend_view';
 import {EngineAction} from './engine_action';
@@ -12,9 +12,9 @@
 type Member = EngineGroup['members'][number];
 
 /**
- * Plans steps towards whole, open groups; a pure function of what is known now.
- * A group that lost a member is taken apart first: its head must have let go
- * before any member is used again.
+ * Plans steps towards complete, open groups. Pure function of the current state.
+ * A group that lost a member is dissolved first: its members are reused only once
+ * its head has released them.
  *
  * @example
  * const actions = planEngineGroups(input);
@@ -31,7 +31,7 @@
     const {name, epoch} = group;
     return reason
       ? [{type: 'end-group' as const, name, epoch, reason}]
-      : planAssembly(group, views);
+      : planJoinAndOpen(group, views);
   });
   const moves = planMoves(input);
   const {actions: formations, reservations} = planEngineFormation(
@@ -41,24 +41,24 @@
   const formed = formations.flatMap(action =>
     action.type === 'set-group' ? action.group.members : [],
   );
-  const taken = new Set(formed.map(member => member.incarnation));
+  const plannedMembers = new Set(formed.map(member => member.incarnation));
   return [
     ...steps,
-    ...planStrays(input),
-    // New groups may take the hosts that a move counts on.
+    ...planOrphans(input),
+    // New groups may use the hosts that a move relies on.
     ...(formations.length === 0 ? moves : []),
     ...formations,
-    ...planPreloads(input, taken, reservations),
+    ...planPreloads(input, plannedMembers, reservations),
   ];
 }
 
-/** Groups that give up their hosts to a better use. */
+/** Ends groups whose hosts have a better use. */
 function planMoves(input: EnginePlanInput): EngineAction[] {
   const upgrades = planConsolidation(input);
   return upgrades.length > 0 ? upgrades : planRebalance(input);
 }
 
-/** Why a group cannot go on, if it cannot. */
+/** Returns why a group must end; undefined if it need not. */
 function findFault(
   group: EngineGroup,
   views: Views,
@@ -74,8 +74,11 @@
   if (retired) {
     return `${retired.incarnation} is leaving`;
   }
-  const told = findTold(group, views.get(group.members[0].incarnation));
-  return told?.state === 'broken'
+  const reported = findReportedGroup(
+    group,
+    views.get(group.members[0].incarnation),
+  );
+  return reported?.state === 'broken'
     ? 'the head says that it is broken'
     : undefined;
 }
@@ -91,14 +94,15 @@
   });
 }
 
-/** What a member says about this very group. */
-function findTold(group: EngineGroup, view: BackendView | undefined) {
-  const told = view?.registration.group;
-  const isSame = told?.name === group.name && told.epoch === group.epoch;
-  return isSame ? told : undefined;
+/** Returns what a member reports about this group, if it reports this name and epoch. */
+function findReportedGroup(group: EngineGroup, view: BackendView | undefined) {
+  const reported = view?.registration.group;
+  const isSame =
+    reported?.name === group.name && reported.epoch === group.epoch;
+  return isSame ? reported : undefined;
 }
 
-/** The head lets go first; only then may its members join others. */
+/** Removes an ending group. Its members may join others only once its head has released them. */
 function planRemoval(
   group: EngineGroup,
   views: Views,
@@ -113,26 +117,27 @@
       const reason = `its head ${head} counts on nobody any more`;
       return [{...removal, reason}];
     }
-    return planLeaving(group, views, input);
+    return planMemberDeparture(group, views, input);
   }
-  const told = findTold(group, view);
-  if (!told) {
+  const reported = findReportedGroup(group, view);
+  if (!reported) {
     return [{...removal, reason: `its head ${head} has let go`}];
   }
-  // A group that is whole finishes its work before a member leaves.
+  // A complete group finishes its running requests before a member leaves.
   const isWhole = findLost(group, views, input) === undefined;
-  if (isWhole && told.state === 'closing') {
+  if (isWhole && reported.state === 'closing') {
     return [];
   }
-  const kind = isWhole && told.state === 'open' ? 'close' : 'leave';
+  const kind = isWhole && reported.state === 'open' ? 'close' : 'leave';
   return [createOrder(kind, view, group, `${name} is taken apart`)];
 }
 
 /**
- * Nobody can ask a head that is silent. A member that leaves makes it stand
- * still and then break by itself, whether it is dead or only cut off.
+ * Orders the members of an unreachable head to leave. The head cannot be asked, but
+ * without a member it stalls and then breaks its group by itself, even if it is only
+ * partitioned from the control plane.
  */
-function planLeaving(
+function planMemberDeparture(
   group: EngineGroup,
   views: Views,
   input: EnginePlanInput,
@@ -146,7 +151,7 @@
   const orders = group.members
     .slice(1)
     .flatMap(({incarnation}) => views.get(incarnation) ?? [])
-    .filter(view => findTold(group, view))
+    .filter(view => findReportedGroup(group, view))
     .filter(view => !input.isLost(view.registration.incarnation))
     .map(view =>
       createOrder('leave', view, group, `the head of ${name} is silent`),
@@ -154,20 +159,22 @@
   return [...release, ...orders];
 }
 
-function planAssembly(group: EngineGroup, views: Views): EngineAction[] {
+function planJoinAndOpen(group: EngineGroup, views: Views): EngineAction[] {
   const members = group.members.flatMap(
     ({incarnation}) => views.get(incarnation) ?? [],
   );
   if (members.length < group.members.length) {
     return [];
   }
-  const strangers = members.filter(view => !findTold(group, view));
-  if (strangers.length > 0) {
-    return strangers.map(view =>
+  const unjoined = members.filter(view => !findReportedGroup(group, view));
+  if (unjoined.length > 0) {
+    return unjoined.map(view =>
       createOrder('join', view, group, `${group.name} is to be formed`),
     );
   }
-  const [head, ...others] = members.map(view => findTold(group, view)?.state);
+  const [head, ...others] = members.map(
+    view => findReportedGroup(group, view)?.state,
+  );
   const isReady =
     head === 'ready' &&
     others.every(state => state === 'ready' || state === 'open');
@@ -176,29 +183,30 @@
     : [];
 }
 
-/** An engine that still serves a group that control has given up must stop. */
-function planStrays(input: EnginePlanInput): EngineAction[] {
-  const known = new Set(
+/** Orders engines to leave that still serve a group which is no longer committed. */
+function planOrphans(input: EnginePlanInput): EngineAction[] {
+  const committed = new Set(
     input.groups.map(({name, epoch}) => `${name} ${epoch}`),
   );
   return input.backends.flatMap(view => {
-    const told = view.registration.group;
-    const isServing = told?.state === 'open' || told?.state === 'closing';
+    const reported = view.registration.group;
+    const isServing =
+      reported?.state === 'open' || reported?.state === 'closing';
     const {incarnation, address, domain} = view.registration;
-    const isAway =
+    const isUnreachable =
       input.isLost(incarnation) ||
       input.now - view.seenAt > input.silentAfterMs;
     if (
-      !told ||
+      !reported ||
       !isServing ||
-      isAway ||
-      known.has(`${told.name} ${told.epoch}`)
+      isUnreachable ||
+      committed.has(`${reported.name} ${reported.epoch}`)
     ) {
       return [];
     }
     const group: EngineGroup = {
-      name: told.name,
-      epoch: told.epoch,
+      name: reported.name,
+      epoch: reported.epoch,
       pool: input.pool,
       model: view.registration.model ?? '',
       domain: domain ?? '',
@@ -212,14 +220,14 @@
 
 function createOrder(
   kind: 'join' | 'open' | 'close' | 'leave',
-  {registration, loadedModel: heldModel}: BackendView,
+  {registration, loadedModel}: BackendView,
   group: EngineGroup,
   reason: string,
 ): EngineAction {
   const {incarnation, address, stagedModels} = registration;
   const {model} = group;
-  const isAtHand = heldModel === model || stagedModels.includes(model);
-  const isLoad = kind === 'join' && !isAtHand;
+  const hasWeights = loadedModel === model || stagedModels.includes(model);
+  const isLoad = kind === 'join' && !hasWeights;
   return {
     type: 'order',
     kind,
--- a/src/coordination/groups/plan_formation.ts
+++ b/src/coordination/groups/plan_formation.ts
@@ -1,4 +1,4 @@
-/** Forms the groups that a bundle asks for and that are not there. */
+/** Plans the groups that a bundle requests and that do not exist yet. */
 import {Group} from '../../protocol/group';
 import {createMember} from './create_member';
 import {GroupAction} from './group_action';
@@ -6,7 +6,7 @@
 import {ReplicaDemand} from './replica_demand';
 
 /**
- * Plans new groups for one demand, as far as free hosts reach.
+ * Plans the missing groups for one demand, as far as free hosts suffice.
  *
  * @example
  * const actions = planFormation(demand, context);
@@ -16,7 +16,7 @@
   context: GroupPlanContext,
 ): GroupAction[] {
   const {input, free} = context;
-  const standing = input.groups.filter(
+  const existing = input.groups.filter(
     group =>
       group.kind === demand.kind &&
       group.name === demand.name &&
@@ -24,37 +24,37 @@
   );
   const usedIds = new Set(input.groups.map(group => group.id));
   const actions: GroupAction[] = [];
-  while (standing.length + actions.length < demand.replicas) {
+  while (existing.length + actions.length < demand.replicas) {
     const domain = findDomain(demand, context);
-    const taken =
+    const allocated =
       domain === undefined
         ? undefined
         : free.allocate({...demand, domain}, demand.hostsPerReplica);
-    if (domain === undefined || !taken) {
+    if (domain === undefined || !allocated) {
       break;
     }
-    const id = findFreeId(demand.name, usedIds);
+    const id = findUnusedId(demand.name, usedIds);
     usedIds.add(id);
     const group: Group = {
       id,
       epoch: input.findEpoch(id) + 1,
-      // Set when the group is committed.
+      // Assigned when the group is committed.
       fencing: 0,
       kind: demand.kind,
       name: demand.name,
       domain,
-      zone: taken[0].report.zone,
-      members: taken.map(createMember),
+      zone: allocated[0].report.zone,
+      members: allocated.map(createMember),
       isDraining: false,
     };
-    const count = standing.length + actions.length;
+    const count = existing.length + actions.length;
     const reason = `${demand.name} has ${count} of ${demand.replicas} replicas`;
     actions.push({type: 'set-group', group, reason});
   }
   return actions;
 }
 
-/** The domain with the fewest hosts that still has enough, so that large gaps stay usable. */
+/** Best fit: the domain with the fewest matching hosts that are enough, so that large domains stay usable. */
 function findDomain(
   demand: ReplicaDemand,
   {free}: GroupPlanContext,
@@ -66,7 +66,7 @@
     .sort((left, right) => left.count - right.count)[0]?.domain;
 }
 
-function findFreeId(name: string, usedIds: ReadonlySet<string>): string {
+function findUnusedId(name: string, usedIds: ReadonlySet<string>): string {
   let number = 1;
   while (usedIds.has(`${name}-${number}`)) {
     number += 1;
--- a/src/coordination/groups/plan_groups.ts
+++ b/src/coordination/groups/plan_groups.ts
@@ -1,4 +1,4 @@
-/** Decides which groups to form, repair, drain and remove. */
+/** Plans which replica groups to form, repair, drain and remove. */
 import {Group} from '../../protocol/group';
 import {FreeHosts} from './free_hosts';
 import {GroupAction} from './group_action';
@@ -13,10 +13,10 @@
 type Member = Group['members'][number];
 
 /**
- * Plans the next changes; a pure function of what is known now. Repairs get
- * free hosts before new groups do, groups of more worth before those of less.
+ * Plans the next changes. Pure function of the current state. Repairs get free
+ * hosts before new groups, and groups of higher worth before those of lower worth.
  *
- * @returns changes to commit, in order; none when the fleet is as it should be
+ * @returns changes to commit, in order; none if the fleet is in the desired state
  * @example
  * const actions = planGroups({bundle, groups, hosts, findEpoch, now: clock.now()});
  */
@@ -35,24 +35,24 @@
     demands,
     brokenGroupIds: new Set(broken.map(group => group.id)),
   };
-  const findRank = (group: Group) =>
+  const findWorthRank = (group: Group) =>
     demands.findIndex(demand => demand.name === group.name);
   const repairs = [...broken]
-    .sort((left, right) => findRank(left) - findRank(right))
+    .sort((left, right) => findWorthRank(left) - findWorthRank(right))
     .map(group => planBroken(group, lost.get(group.id) ?? [], context));
   const others = input.groups
     .filter(group => !isBroken(group))
-    .map(group => planWhole(group, context));
+    .map(group => planComplete(group, context));
   const formations = demands.flatMap(demand => planFormation(demand, context));
   const changes = [...repairs, ...others].filter(
     action => action !== undefined,
   );
-  return [...removeRepeated(changes), ...formations];
+  return [...removeDuplicates(changes), ...formations];
 }
 
 /**
- * Members that are lost. A first member that hears none of several others,
- * while control hears them, is itself the one that is cut off.
+ * Lists the lost members. If the first member hears none of several others, but the
+ * control plane hears them all, the first member is the one that is partitioned.
  */
 function listLost(
   group: Group,
@@ -63,14 +63,14 @@
     hostLoss.find(member, hosts.get(member.hostId), now),
   );
   const [first, ...others] = group.members;
-  const isFirstAlone =
+  const isFirstPartitioned =
     others.length > 1 &&
     others.every(member => lost.includes(member)) &&
     others.every(member => {
       const host = hosts.get(member.hostId);
       return host !== undefined && hostLoss.isReporting(host, now);
     });
-  return isFirstAlone ? [first] : lost;
+  return isFirstPartitioned ? [first] : lost;
 }
 
 function planBroken(
@@ -86,13 +86,13 @@
   return planRepair(group, lost, context);
 }
 
-function planWhole(
+function planComplete(
   group: Group,
   context: GroupPlanContext,
 ): GroupAction | undefined {
   const target = {groupId: group.id, epoch: group.epoch};
   if (group.isDraining) {
-    // Counts from before the first member knew of the drain say nothing.
+    // A report from before the first member knew of the drain does not show that it is drained.
     const first = context.hosts.get(group.members[0].hostId)?.report;
     const isDone =
       first?.isDrained === true && first.assignment?.epoch === group.epoch;
@@ -109,7 +109,7 @@
   {input, hosts, demands}: GroupPlanContext,
 ): string | undefined {
   const demand = demands.find(
-    wanted => wanted.kind === group.kind && wanted.name === group.name,
+    other => other.kind === group.kind && other.name === group.name,
   );
   if (!demand) {
     return `${group.name} is not in the bundle`;
@@ -136,8 +136,8 @@
   return host !== undefined && (host.report.isLeaving || host.isDrained);
 }
 
-/** Two broken groups may choose the same donor; one drain of it is enough. */
-function removeRepeated(actions: readonly GroupAction[]): GroupAction[] {
+/** Keeps the first action for each group, since two broken groups may choose the same donor. */
+function removeDuplicates(actions: readonly GroupAction[]): GroupAction[] {
   const seen = new Set<string>();
   return actions.filter(action => {
     const id = action.type === 'set-group' ? action.group.id : action.groupId;
--- a/src/coordination/groups/plan_preloads.ts
+++ b/src/coordination/groups/plan_preloads.ts
@@ -1,8 +1,8 @@
 /**
- * Decides which weights hosts keep ready. A host holds one model in memory and
- * keeps others on its own disk, so with two models every host can serve either
- * within a second or two: whatever is lost, those that are left can be arranged
- * anew without reading from the store.
+ * Plans which weights hosts load in advance. A host has one model in memory and
+ * others on its own disk, so with two models every host can serve either within one
+ * or two seconds. After any loss, the remaining hosts can then be regrouped without
+ * reading from the weight store.
  */
 import {EngineProfile} from '../../protocol/engine_profile';
 import {BackendView} from './backend_view';
@@ -15,50 +15,50 @@
 type Model = EngineProfile['models'][number];
 
 /**
- * Plans loads that no group waits for: first free hosts without a model in
- * memory, then second copies, spares before members.
+ * Plans loads that no group waits for: first into the memory of free hosts that have
+ * no model, then copies of further models on disk, spares before group members.
  *
- * @param taken incarnations that the same plan puts into groups
- * @param reservations hosts that wait for a group of one model
+ * @param assigned incarnations that the same plan puts into groups
+ * @param reservations hosts reserved for the next group of a model
  * @example
- * const orders = planPreloads(input, taken, reservations);
+ * const orders = planPreloads(input, assigned, reservations);
  */
 export function planPreloads(
   input: EnginePlanInput,
-  taken: ReadonlySet<string> = new Set(),
+  assigned: ReadonlySet<string> = new Set(),
   reservations: readonly EngineReservation[] = [],
 ): EngineAction[] {
   const free = listFreeEngines(input).filter(
-    host => !taken.has(host.registration.incarnation),
+    host => !assigned.has(host.registration.incarnation),
   );
   const freeIds = new Set(free.map(host => host.registration.incarnation));
   const members = input.backends.filter(
     ({registration, seenAt}) =>
       registration.domain !== undefined &&
       !freeIds.has(registration.incarnation) &&
-      !taken.has(registration.incarnation) &&
+      !assigned.has(registration.incarnation) &&
       !input.isRetired(registration.incarnation) &&
       !input.isLost(registration.incarnation) &&
       input.now - seenAt < input.silentAfterMs,
   );
   const counts = countSupply(input, free);
-  const ready = [...free, ...members];
+  const hosts = [...free, ...members];
   return [
-    ...planParkings(input, free, counts, reservations),
-    ...ready.flatMap(host =>
-      planSecondCopy(host, sortByNeed(input, counts), input),
+    ...planMemoryLoads(input, free, counts, reservations),
+    ...hosts.flatMap(host =>
+      planDiskCopy(host, sortByNeed(input, counts), input),
     ),
   ];
 }
 
-/** Groups, and spares by the model that each has or is loading. */
+/** Counts the groups, and the spares by the model that each has or is loading. */
 function countSupply(
   input: EnginePlanInput,
   free: readonly BackendView[],
 ): ModelCounts {
   const counts = ModelCounts.create(input);
-  for (const {registration, loadedModel: heldModel} of free) {
-    const model = heldModel ?? input.findLoading(registration.incarnation);
+  for (const {registration, loadedModel} of free) {
+    const model = loadedModel ?? input.findLoading(registration.incarnation);
     if (model !== undefined) {
       counts.addSpare(model);
     }
@@ -66,7 +66,7 @@
   return counts;
 }
 
-/** The model with the fewest hosts for its share of the work comes first. */
+/** Sorts models by hosts relative to the share of the load, fewest first. */
 function sortByNeed({profile}: EnginePlanInput, counts: ModelCounts): Model[] {
   return [...profile.models].sort(
     (left, right) =>
@@ -74,37 +74,37 @@
   );
 }
 
-/** Empty hosts that wait for a group take its model, the others what lacks hosts most. */
-function planParkings(
+/** Loads empty hosts: with the reserved model, else one from their own disk, else the model of greatest need. */
+function planMemoryLoads(
   input: EnginePlanInput,
   free: readonly BackendView[],
   counts: ModelCounts,
   reservations: readonly EngineReservation[],
 ): EngineAction[] {
   const empty = free.filter(
-    ({registration, loadedModel: heldModel}) =>
-      heldModel === undefined &&
+    ({registration, loadedModel}) =>
+      loadedModel === undefined &&
       registration.group === undefined &&
       input.findLoading(registration.incarnation) === undefined,
   );
   return empty.flatMap(host => {
     const {stagedModels} = host.registration;
-    const models = sortByNeed(input, counts);
+    const modelsByNeed = sortByNeed(input, counts);
     const reserved = reservations.find(({hosts}) => hosts.includes(host));
     const model =
       reserved?.model ??
-      models.find(({name}) => stagedModels.includes(name)) ??
-      models[0];
+      modelsByNeed.find(({name}) => stagedModels.includes(name)) ??
+      modelsByNeed[0];
     if (!model) {
       return [];
     }
     counts.addSpare(model.name);
-    return [createParking(host, model, input)];
+    return [createMemoryLoad(host, model, input)];
   });
 }
 
-/** A free host takes a model into memory in a group of its own that never opens. */
-function createParking(
+/** Creates the order that loads a free host's memory, through a single-host group that never opens. */
+function createMemoryLoad(
   {registration}: BackendView,
   model: Model,
   {pool, epoch}: EnginePlanInput,
@@ -132,19 +132,19 @@
   };
 }
 
-function planSecondCopy(
-  {registration, loadedModel: heldModel}: BackendView,
+function planDiskCopy(
+  {registration, loadedModel}: BackendView,
   models: readonly Model[],
   {profile}: EnginePlanInput,
 ): EngineAction[] {
   const {incarnation, address, stagedModels, group} = registration;
-  const others = stagedModels.filter(name => name !== heldModel);
+  const copies = stagedModels.filter(name => name !== loadedModel);
   const missing = models.find(
-    ({name}) => name !== heldModel && !stagedModels.includes(name),
+    ({name}) => name !== loadedModel && !stagedModels.includes(name),
   );
-  const isBusy = group?.state === 'joining';
-  const hasRoom = others.length < profile.keptModels;
-  if (heldModel === undefined || isBusy || !hasRoom || !missing) {
+  const isJoining = group?.state === 'joining';
+  const hasRoom = copies.length < profile.keptModels;
+  if (loadedModel === undefined || isJoining || !hasRoom || !missing) {
     return [];
   }
   return [
@@ -155,7 +155,7 @@
       address,
       model: missing.name,
       isLoad: true,
-      reason: `${heldModel} is in memory, ${missing.name} is to be at hand`,
+      reason: `${loadedModel} is in memory, ${missing.name} is to be at hand`,
     },
   ];
 }
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -1,4 +1,4 @@
-/** Decides when a group gives up its hosts for a model that lacks them more. */
+/** Plans which groups give up their hosts to a model with greater need. */
 import {EngineGroup} from '../../protocol/engine_group';
 import {EngineProfile} from '../../protocol/engine_profile';
 import {BackendView} from './backend_view';
@@ -9,13 +9,13 @@
 import {isHeldByUnreachableHead} from './is_held_by_unreachable_head';
 import {listFreeEngines} from './list_free_engines';
 
-/** With fewer groups the next loss would leave a model without any; only one that has none may ask for that. */
-const SAFE_GROUPS = 2;
+/** With fewer groups, the next loss would leave a donor without any; only a model without groups may cause that. */
+const MIN_DONOR_GROUPS = 2;
 
 type Model = EngineProfile['models'][number];
 
-/** What is looked at for each fabric domain, found once for all of them. */
-interface Domain {
+/** Groups and hosts of one fabric domain, collected once for all domains. */
+interface DomainView {
   readonly name: string;
   readonly groups: readonly EngineGroup[];
   readonly free: readonly BackendView[];
@@ -24,35 +24,36 @@
 }
 
 /**
- * Ends groups of models that have more of them than they should for the one that the
- * split was changed for, or more hosts for their share of the work than one of which
- * requests are refused, if their hosts and the free ones of their domain can then form
- * a group of that other without a load.
+ * Plans which groups to end so that their hosts and the free ones of their domain can
+ * form a group of another model without a load. Donors are models with more groups
+ * than desired if the other model's share was just raised, and models with more hosts
+ * relative to their share of the load if the other model is overloaded.
  *
  * @example
  * const actions = planRebalance(input);
  */
 export function planRebalance(input: EnginePlanInput): EngineAction[] {
-  const isOneLeaving = input.groups.some(
+  const isAnyEnding = input.groups.some(
     group => group.isEnding && !isHeldByUnreachableHead(group, input),
   );
-  const isLeftOut = input.policy?.movesHosts === false;
-  if (isLeftOut || !input.mayRebalance || isOneLeaving) {
+  const isDisabled = input.policy?.movesHosts === false;
+  if (isDisabled || !input.mayRebalance || isAnyEnding) {
     return [];
   }
   const counts =
     input.policy?.countsHeldGroups === false
       ? ModelCounts.create(input)
       : ModelCounts.createWithHeld(input);
-  const needy = input.profile.models
+  const recipients = input.profile.models
     .filter(
-      ({name}) => input.isPressed(name) || isToGetMore(name, counts, input),
+      ({name}) =>
+        input.isPressed(name) || isRecipientBelowDesired(name, counts, input),
     )
     .sort(
       (left, right) =>
         counts.computeHostsPerShare(left) - counts.computeHostsPerShare(right),
     );
-  for (const model of needy) {
+  for (const model of recipients) {
     const donors = findDonors(model, counts, input);
     if (donors) {
       const reason = `${model.name} lacks hosts for its share of the work`;
@@ -68,17 +69,18 @@
   return [];
 }
 
-function isToGetMore(
+function isRecipientBelowDesired(
   model: string,
   counts: ModelCounts,
-  {usual, recipientModel: movesTo}: EnginePlanInput,
+  {usual, recipientModel}: EnginePlanInput,
 ): boolean {
   return (
-    model === movesTo && counts.countGroups(model) < (usual.get(model) ?? 0)
+    model === recipientModel &&
+    counts.countGroups(model) < (usual.get(model) ?? 0)
   );
 }
 
-/** The fewest groups of one domain whose hosts are enough; undefined for none. */
+/** Finds the fewest groups of one domain whose hosts are enough; undefined for none. */
 function findDonors(
   model: Model,
   counts: ModelCounts,
@@ -97,8 +99,13 @@
     groups.set(group.domain, [...(groups.get(group.domain) ?? []), group]);
   }
   return [...groups]
-    .flatMap(([name, own]) => {
-      const domain = {name, groups: own, free: free.get(name) ?? [], views};
+    .flatMap(([name, domainGroups]) => {
+      const domain = {
+        name,
+        groups: domainGroups,
+        free: free.get(name) ?? [],
+        views,
+      };
       const donors = listDonors(model, domain, counts, input);
       return donors ? [donors] : [];
     })
@@ -107,41 +114,41 @@
 
 function listDonors(
   model: Model,
-  domain: Domain,
+  domain: DomainView,
   counts: ModelCounts,
   input: EnginePlanInput,
 ): readonly EngineGroup[] | undefined {
   const donors: EngineGroup[] = [];
-  let ready = countReady(domain.free, domain, model);
+  let hostsReady = countWithWeights(domain.free, domain, model);
   for (const group of domain.groups) {
     const isDonor =
-      ready < model.size &&
+      hostsReady < model.size &&
       isServing(group, domain) &&
       group.model !== model.name &&
-      isBetterOff(group, donors, model, counts, input);
+      canDonate(group, donors, model, counts, input);
     if (isDonor) {
       donors.push(group);
       const members = group.members.flatMap(
         ({incarnation}) => domain.views.get(incarnation) ?? [],
       );
-      ready += countReady(members, domain, model);
+      hostsReady += countWithWeights(members, domain, model);
     }
   }
-  return donors.length > 0 && ready >= model.size ? donors : undefined;
+  return donors.length > 0 && hostsReady >= model.size ? donors : undefined;
 }
 
-/** One that is being formed is about to help by itself. */
+/** Checks whether a group is open. A forming group does not donate, since it is about to add capacity itself. */
 function isServing(
   {isEnding, members, name}: EngineGroup,
-  {views}: Domain,
+  {views}: DomainView,
 ): boolean {
   const told = views.get(members[0].incarnation)?.registration.group;
   return !isEnding && told?.name === name && told.state === 'open';
 }
 
-function countReady(
+function countWithWeights(
   hosts: readonly BackendView[],
-  {name}: Domain,
+  {name}: DomainView,
   model: Model,
 ): number {
   return hosts.filter(
@@ -151,11 +158,11 @@
   ).length;
 }
 
-/** It gives what it has beyond its own need, or what a model that refuses requests needs more. */
-function isBetterOff(
+/** Checks whether a group's model has more groups than desired, or less need than an overloaded model. */
+function canDonate(
   group: EngineGroup,
-  given: readonly EngineGroup[],
-  needy: Model,
+  donors: readonly EngineGroup[],
+  recipient: Model,
   counts: ModelCounts,
   input: EnginePlanInput,
 ): boolean {
@@ -163,31 +170,38 @@
   if (!model) {
     return false;
   }
-  const gifts = given.filter(other => other.model === model.name).length + 1;
-  const left = counts.countGroups(model.name) - gifts;
-  const isBeyondUsual = left >= (input.usual.get(model.name) ?? 0);
-  if (left > 0 && isBeyondUsual && isToGetMore(needy.name, counts, input)) {
+  const donated = donors.filter(other => other.model === model.name).length + 1;
+  const left = counts.countGroups(model.name) - donated;
+  const isAboveDesired = left >= (input.usual.get(model.name) ?? 0);
+  if (
+    left > 0 &&
+    isAboveDesired &&
+    isRecipientBelowDesired(recipient.name, counts, input)
+  ) {
     return true;
   }
   return (
-    input.isPressed(needy.name) && isStillBetterOff(model, left, needy, counts)
+    input.isPressed(recipient.name) &&
+    hasLessNeedAfterwards(model, left, recipient, counts)
   );
 }
 
 /**
- * Still after it gave up so much. Whether its own requests find places just now
- * says little: what its hosts had of it is gone with their next join.
+ * Checks whether a model has less need even after its donation. Whether it refuses
+ * requests at present says little, since its hosts lose its weights when they join
+ * groups of the other model.
  */
-function isStillBetterOff(
+function hasLessNeedAfterwards(
   model: Model,
   left: number,
-  needy: Model,
+  recipient: Model,
   counts: ModelCounts,
 ): boolean {
-  const isFragile = left < SAFE_GROUPS && counts.countGroups(needy.name) > 0;
+  const isFragile =
+    left < MIN_DONOR_GROUPS && counts.countGroups(recipient.name) > 0;
   if (left < 1 || isFragile) {
     return false;
   }
-  const leftRank = (left * model.size) / model.share;
-  return leftRank > counts.computeHostsPerShare(needy);
+  const hostsPerShare = (left * model.size) / model.share;
+  return hostsPerShare > counts.computeHostsPerShare(recipient);
 }
--- a/src/coordination/groups/plan_repair.ts
+++ b/src/coordination/groups/plan_repair.ts
@@ -1,4 +1,4 @@
-/** Decides what to do about a group that lost members. */
+/** Plans the repair of a group that lost members. */
 import {Group} from '../../protocol/group';
 import {BrokenGroup} from './broken_group';
 import {createMember} from './create_member';
@@ -10,18 +10,18 @@
 import {ReplicaDemand} from './replica_demand';
 
 const MS_PER_SECOND = 1_000;
-/** A member that comes back empty, or hosts of a service, need about this long. */
+/** Approximate time that a restarted member, or a host of a service, needs to join. */
 const REJOIN_MS = 1_000;
 
 type Member = Group['members'][number];
-type Plan = (
+type CreateAction = (
   group: Group,
   lost: readonly Member[],
   context: GroupPlanContext,
 ) => GroupAction | undefined;
 
 /**
- * Prices every option and plans the cheapest; a pure function.
+ * Computes the cost of every repair option and plans the cheapest. Pure function.
  *
  * @returns undefined to wait
  * @example
@@ -33,7 +33,7 @@
   context: GroupPlanContext,
 ): GroupAction | undefined {
   const demand = context.demands.find(
-    wanted => wanted.kind === group.kind && wanted.name === group.name,
+    other => other.kind === group.kind && other.name === group.name,
   );
   if (!demand) {
     return createRemoval(
@@ -44,7 +44,7 @@
   const options = computeRepairCosts(
     describeBrokenGroup(group, lost, demand, context),
   );
-  const action = PLANS[options[0].action](group, lost, context);
+  const action = PLAN_BY_ACTION[options[0].action](group, lost, context);
   const lostIds = lost.map(member => member.hostId).join(' ');
   return (
     action && {
@@ -54,7 +54,7 @@
   );
 }
 
-const PLANS: Record<RepairOption['action'], Plan> = {
+const PLAN_BY_ACTION: Record<RepairOption['action'], CreateAction> = {
   wait: () => undefined,
   spare: (group, lost, context) => {
     const spares = context.free.allocate(
@@ -63,8 +63,8 @@
     );
     const kept = group.members.filter(member => !lost.includes(member));
     const members = [...kept, ...(spares ?? []).map(createMember)];
-    const next = {...group, epoch: group.epoch + 1, members};
-    return spares && {type: 'set-group', group: next, reason: ''};
+    const repaired = {...group, epoch: group.epoch + 1, members};
+    return spares && {type: 'set-group', group: repaired, reason: ''};
   },
   rebuild: group => createRemoval(group, ''),
   'break-up': group => createRemoval(group, ''),
@@ -88,59 +88,59 @@
   context: GroupPlanContext,
 ): BrokenGroup {
   const {input, hosts, free, demands} = context;
-  const views = lost.map(member => hosts.get(member.hostId));
+  const hostViews = lost.map(member => hosts.get(member.hostId));
   const losses = lost.map((member, at) =>
-    hostLoss.find(member, views[at], input.now),
+    hostLoss.find(member, hostViews[at], input.now),
   );
   const accelerators = group.members.map(
     member => hosts.get(member.hostId)?.report.backend?.accelerators ?? 1,
   );
   const donor = findDonor(group, context);
   const loadMs = demand.loadSeconds * MS_PER_SECOND;
-  const hasLoadedSpares =
+  const areSparesLoaded =
     free.countLoaded({...group, groupId: group.id}) >= lost.length;
   const isRejoin = lost.every((_, at) => losses[at]?.hasRestarted);
-  const rebuildWant = (domain: string) => ({...demand, domain});
+  const createRequirement = (domain: string) => ({...demand, domain});
   return {
     silentMs: Math.min(...losses.map(loss => loss?.silentMs ?? 0)),
     hasRestarted: losses.some(loss => loss?.hasRestarted === true),
-    recentLosses: Math.max(...views.map(view => view?.losses ?? 0)),
+    recentLosses: Math.max(...hostViews.map(view => view?.losses ?? 0)),
     size: group.members.length,
     survivors: group.members.length - lost.length,
     acceleratorsPerHost: Math.max(1, ...accelerators),
     worth: demand.worth,
     spareLoadMs:
-      isRejoin || hasLoadedSpares
+      isRejoin || areSparesLoaded
         ? REJOIN_MS
-        : loadMs * computeQueue(lost.length, context) + REJOIN_MS,
+        : loadMs * computeLoadRounds(lost.length, context) + REJOIN_MS,
     rebuildLoadMs:
-      loadMs * computeQueue(group.members.length, context) + REJOIN_MS,
+      loadMs * computeLoadRounds(group.members.length, context) + REJOIN_MS,
     hasSpares: free.countMatching({...group, groupId: group.id}) >= lost.length,
     canRebuild: free
       .listDomains()
       .filter(domain => domain !== group.domain)
       .some(
         domain =>
-          free.countMatching(rebuildWant(domain)) >= group.members.length,
+          free.countMatching(createRequirement(domain)) >= group.members.length,
       ),
     donorWorth:
-      donor && demands.find(wanted => wanted.name === donor.name)?.worth,
-    canReassignSurvivors: hasUseForSurvivors(group, context),
+      donor && demands.find(other => other.name === donor.name)?.worth,
+    canReassignSurvivors: canReassignSurvivors(group, context),
     weights: input.bundle.weights,
   };
 }
 
-/** How many times the loading time passes until this many more hosts have loaded. */
-function computeQueue(hosts: number, {input}: GroupPlanContext): number {
+/** Returns the number of load rounds until this many more hosts have loaded. */
+function computeLoadRounds(hosts: number, {input}: GroupPlanContext): number {
   const {concurrentLoads} = input.bundle.weightStore;
   const loading = input.groups
-    .filter(group => group.kind === 'model' && isStarting(group, input.hosts))
+    .filter(group => group.kind === 'model' && isLoading(group, input.hosts))
     .reduce((sum, group) => sum + group.members.length, 0);
   return Math.ceil((loading + hosts) / concurrentLoads);
 }
 
-/** Every member is well, but the group does not serve yet: it is loading. */
-function isStarting(
+/** Checks whether a group is loading: no member is missing, but it does not serve yet. */
+function isLoading(
   group: Group,
   hosts: GroupPlanContext['input']['hosts'],
 ): boolean {
@@ -150,59 +150,63 @@
   return first !== undefined && !first.isServing && first.missing.length === 0;
 }
 
-/** The group of lowest worth in the domain, if it is below this one's and nothing drains yet. */
+/** Finds the group of lowest worth in the domain, if that is below this group's worth and no group is draining. */
 function findDonor(
   group: Group,
-  {input, demands, brokenGroupIds: brokenIds}: GroupPlanContext,
+  {input, demands, brokenGroupIds}: GroupPlanContext,
 ): Group | undefined {
   const findWorth = (candidate: Group) =>
     demands.find(
-      wanted => wanted.kind === 'model' && wanted.name === candidate.name,
+      demand => demand.kind === 'model' && demand.name === candidate.name,
     )?.worth ?? 0;
-  const neighbours = input.groups.filter(
+  const domainGroups = input.groups.filter(
     other =>
       other.domain === group.domain &&
       other.kind === 'model' &&
       other.id !== group.id,
   );
-  if (group.kind !== 'model' || neighbours.some(other => other.isDraining)) {
+  if (group.kind !== 'model' || domainGroups.some(other => other.isDraining)) {
     return undefined;
   }
-  return neighbours
+  return domainGroups
     .filter(
-      other => !brokenIds.has(other.id) && findWorth(other) < findWorth(group),
+      other =>
+        !brokenGroupIds.has(other.id) && findWorth(other) < findWorth(group),
     )
     .sort((left, right) => findWorth(left) - findWorth(right))[0];
 }
 
-/** Another broken group of the domain could take them, or a replica is missing. */
-function hasUseForSurvivors(group: Group, context: GroupPlanContext): boolean {
-  const {input, brokenGroupIds: brokenIds, demands, free} = context;
-  const isNeighbourBroken = input.groups.some(
+/** Checks whether another broken group of the domain could use the remaining members, or a replica is missing. */
+function canReassignSurvivors(
+  group: Group,
+  context: GroupPlanContext,
+): boolean {
+  const {input, brokenGroupIds, demands, free} = context;
+  const isOtherGroupBroken = input.groups.some(
     other =>
       other.id !== group.id &&
       other.domain === group.domain &&
-      brokenIds.has(other.id),
+      brokenGroupIds.has(other.id),
   );
   const isReplicaMissing = demands.some(demand => {
-    const standing = input.groups.filter(
+    const existing = input.groups.filter(
       other =>
         other.kind === demand.kind &&
         other.name === demand.name &&
         other.id !== group.id,
     );
-    const reachable =
+    const availableHosts =
       free.countMatching({...demand, domain: group.domain}) +
       group.members.length -
       1;
     return (
       demand.kind === group.kind &&
       demand.name !== group.name &&
-      standing.length < demand.replicas &&
-      reachable >= demand.hostsPerReplica
+      existing.length < demand.replicas &&
+      availableHosts >= demand.hostsPerReplica
     );
   });
-  return isNeighbourBroken || isReplicaMissing;
+  return isOtherGroupBroken || isReplicaMissing;
 }
 
 function createRemoval(group: Group, reason: string): GroupAction {
--- a/src/coordination/groups/plan_standby.ts
+++ b/src/coordination/groups/plan_standby.ts
@@ -1,11 +1,11 @@
-/** Decides what free hosts load in advance, so that a repair need not wait for the weight store. */
+/** Plans which model free hosts load in advance, so that repairs need not wait for the weight store. */
 import {Group} from '../../protocol/group';
 import {GroupPlanInput} from './group_plan_input';
 import {HostView} from './host_view';
 import {listReplicaDemands} from './list_replica_demands';
 
 /**
- * For each free host, the model of its domain whose groups are worth most.
+ * Assigns each free host the model of its domain whose groups have the highest total worth.
  *
  * @returns model name by host id
  * @example
@@ -32,12 +32,14 @@
   const groups = input.groups.filter(
     group => group.kind === 'model' && group.domain === domain,
   );
-  const worthOf = (name: string) => {
+  const computeTotalWorth = (name: string) => {
     const worth =
       listReplicaDemands(input.bundle).find(demand => demand.name === name)
         ?.worth ?? 0;
     return worth * groups.filter((group: Group) => group.name === name).length;
   };
   const names = [...new Set(groups.map(group => group.name))];
-  return names.sort((left, right) => worthOf(right) - worthOf(left))[0];
+  return names.sort(
+    (left, right) => computeTotalWorth(right) - computeTotalWorth(left),
+  )[0];
 }
--- a/src/coordination/groups/reserve_engines.ts
+++ b/src/coordination/groups/reserve_engines.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps free hosts for a model that lacks groups and cannot form one yet. A
- * model on few hosts finds a place almost anywhere and would otherwise take
- * each free host before a model on many has enough of them in one domain.
+ * Reserves free hosts for a model that lacks groups and cannot form one yet. A model
+ * with small groups fits almost anywhere, and without reservations it would take each
+ * free host before a model with large groups has enough of them in one domain.
  */
 import {EngineProfile} from '../../protocol/engine_profile';
 import {BackendView} from './backend_view';
@@ -13,10 +13,10 @@
 type Model = EngineProfile['models'][number];
 
 /**
- * Reserves hosts in the domain where the least is missing for a group of the
- * model; undefined where no domain has enough, loads included.
+ * Reserves hosts in the domain that is closest to a complete group of the model;
+ * undefined if no domain has enough hosts, including those that would have to load.
  *
- * @param free hosts that no group of the plan has taken
+ * @param free hosts that are in no group of the plan
  * @example
  * const reservation = reserveEngines(model, free, input);
  */
@@ -49,27 +49,32 @@
   leaving: readonly BackendView[],
   input: EnginePlanInput,
 ) {
-  const isHere = ({registration}: BackendView) =>
+  const isInDomain = ({registration}: BackendView) =>
     registration.domain === domain;
-  const own = free
-    .filter(isHere)
-    .sort((left, right) => computeDistance(left) - computeDistance(right));
-  const soon = leaving.filter(isHere).slice(0, model.size);
-  const hosts = own.slice(0, model.size - soon.length);
-  const isReady = (host: BackendView) =>
+  const freeHere = free
+    .filter(isInDomain)
+    .sort((left, right) => computeOrder(left) - computeOrder(right));
+  const availableSoon = leaving.filter(isInDomain).slice(0, model.size);
+  const hosts = freeHere.slice(0, model.size - availableSoon.length);
+  const hasWeights = (host: BackendView) =>
     computeReadyMs(host, model) < model.loadMs;
-  const ready = [...hosts, ...soon].filter(isReady).length;
-  return {domain, hosts, ready, possible: own.length + soon.length};
+  const ready = [...hosts, ...availableSoon].filter(hasWeights).length;
+  return {
+    domain,
+    hosts,
+    ready,
+    possible: freeHere.length + availableSoon.length,
+  };
 
-  /** Those that have the model come first, then those that are loading it, then empty ones. */
-  function computeDistance(host: BackendView): number {
+  /** Sort key: hosts that have the model come first, then hosts that are loading it, then empty ones. */
+  function computeOrder(host: BackendView): number {
     const isLoading =
       input.findLoading(host.registration.incarnation) === model.name;
     return isLoading ? model.warmMs * 2 : computeReadyMs(host, model);
   }
 }
 
-/** Members of groups that are being taken apart and whose head can be asked. */
+/** Lists members of ending groups whose head can be asked to release them. */
 function listLeaving(input: EnginePlanInput): BackendView[] {
   const leaving = new Set(
     input.groups
@@ -85,8 +90,8 @@
 }
 
 /**
- * Members of groups whose silent head is about to let go, for some five seconds:
- * less than the load that a host needs which went to another model meanwhile.
+ * Lists members of groups that an unreachable head still holds. They are available
+ * within about five seconds, sooner than a host could load another model.
  */
 function listHeld(input: EnginePlanInput): BackendView[] {
   const held = new Set(
