--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -42,9 +42,7 @@
   'wait for return': createPolicy((group, lost, context) => {
     const isBack = lost.every(member => {
       const host = context.hosts.get(member.hostId);
-      return (
-        host !== undefined && hostLoss.isReporting(host, context.input.now)
-      );
+      return host !== undefined && hostLoss.isAlive(host, context.input.now);
     });
     return isBack ? replace(group, lost, context) : undefined;
   }),
--- a/src/coordination/groups/compute_desired_groups.ts
+++ b/src/coordination/groups/compute_desired_groups.ts
@@ -14,14 +14,12 @@
   {models}: EngineProfile,
   domains: readonly number[],
 ): Map<string, number> {
-  const usableHosts = computeSum(
-    domains.map(hosts => hosts - computeSpares(hosts)),
-  );
+  const used = computeSum(domains.map(hosts => hosts - computeSpares(hosts)));
   const totalHosts = computeSum(domains);
-  const totalShare = computeSum(models.map(model => model.share));
+  const total = computeSum(models.map(model => model.share));
   return new Map(
     models.map(({name, size, share}) => {
-      const hosts = totalShare > 0 ? (usableHosts * share) / totalShare : 0;
+      const hosts = total > 0 ? (used * share) / total : 0;
       const isWanted = share > 0 && totalHosts >= size;
       return [name, Math.max(Math.round(hosts / size), isWanted ? 1 : 0)];
     }),
--- a/src/coordination/groups/compute_quarantine_ms.ts
+++ b/src/coordination/groups/compute_quarantine_ms.ts
@@ -1,12 +1,11 @@
-/** Quarantine after the second loss; a single loss has none, and each further one doubles it. */
+/** A single loss causes no quarantine; each one after the second doubles the time. */
 const FIRST_QUARANTINE_MS = 15_000;
 const MAX_QUARANTINE_MS = 10 * 60_000;
 
 /**
- * Returns how long a host is kept out of new groups after this many recent losses,
- * with exponential backoff.
+ * How long a host stays out of new groups after this many recent losses.
  *
- * @returns milliseconds from its last loss; 0 for a host that was lost once at most
+ * @returns milliseconds since its last loss; 0 for a host that was lost once at most
  * @example
  * computeQuarantineMs(3); // 30_000
  */
--- a/src/coordination/groups/free_hosts.ts
+++ b/src/coordination/groups/free_hosts.ts
@@ -105,7 +105,7 @@
   const {backend, isLeaving, assignment} = host.report;
   const isQuarantined = now - host.lostAt < computeQuarantineMs(host.losses);
   return (
-    hostLoss.isReporting(host, now) &&
+    hostLoss.isAlive(host, now) &&
     backend !== null &&
     !isLeaving &&
     !host.isDrained &&
--- a/src/coordination/groups/host_loss.ts
+++ b/src/coordination/groups/host_loss.ts
@@ -15,7 +15,7 @@
 /** Detects lost hosts from their reports. */
 export const hostLoss = {
   /** True if the host has reported recently. */
-  isReporting(host: HostView, now: number): boolean {
+  isAlive(host: HostView, now: number): boolean {
     return now - host.seenAt <= LOST_AFTER_MS;
   },
 
--- a/src/coordination/groups/plan_groups.ts
+++ b/src/coordination/groups/plan_groups.ts
@@ -68,7 +68,7 @@
     others.every(member => lost.includes(member)) &&
     others.every(member => {
       const host = hosts.get(member.hostId);
-      return host !== undefined && hostLoss.isReporting(host, now);
+      return host !== undefined && hostLoss.isAlive(host, now);
     });
   return isFirstPartitioned ? [first] : lost;
 }
