--- a/src/coordination/groups/compute_quarantine_ms.ts
+++ b/src/coordination/groups/compute_quarantine_ms.ts
@@ -3,7 +3,7 @@
 const MAX_QUARANTINE_MS = 10 * 60_000;
 
 /**
- * How long a host stays out of new groups after this many recent losses.
+ * How long a host stays out of new groups after it was lost this often lately.
  *
  * @returns milliseconds since its last loss; 0 for a host that was lost once at most
  * @example
