--- a/src/coordination/groups/membership.ts
+++ b/src/coordination/groups/membership.ts
@@ -1,9 +1,9 @@
-/** A host's own part in its group: which one it belongs to, and what it may answer for. */
+/** A host's membership: which group it belongs to, and which heartbeats it may answer. */
 import {Group} from '../../protocol/group';
 import {HEARTBEAT_LEASE_MS} from './heartbeat_lease_ms';
 
-/** A process, told apart from its earlier lives. */
-interface ProcessName {
+/** A host process; the incarnation distinguishes it from its earlier starts. */
+interface HostProcess {
   readonly hostId: string;
   readonly incarnation: string;
 }
@@ -15,17 +15,17 @@
 }
 
 /**
- * Belongs to one group and epoch at a time.
+ * Tracks the one group and epoch that a host belongs to.
  *
- * A heartbeat that was answered lets the asker serve for a while. So a host
- * that leaves stays bound to its old group until that time is over, unless the
- * old first member itself shows that it left.
+ * An answered heartbeat gives the asking first member a lease to serve. A host that
+ * leaves its group therefore stays bound to it until that lease has expired, unless
+ * the old first member itself asks under the new epoch.
  */
 export class Membership {
   private currentGroup: Group | null = null;
-  private boundTo: Assignment | null = null;
-  private boundUntil = -Infinity;
-  private answeredTo: ProcessName | undefined;
+  private previousAssignment: Assignment | null = null;
+  private leasedUntil = -Infinity;
+  private leaseHolder: HostProcess | undefined;
 
   private constructor(private readonly startedAt: number) {}
 
@@ -39,12 +39,12 @@
     return new Membership(startedAt);
   }
 
-  /** The group that control last named; null for none. */
+  /** The group that the control plane last assigned; null for none. */
   get group(): Group | null {
     return this.currentGroup;
   }
 
-  /** Takes over what control says. True when the group or its epoch changed. */
+  /** Applies an assignment by the control plane. Returns true if the group or its epoch changed. */
   assign(group: Group | null): boolean {
     const before = this.currentGroup;
     const isSame = before?.id === group?.id && before?.epoch === group?.epoch;
@@ -52,66 +52,68 @@
     if (isSame) {
       return false;
     }
-    this.boundTo = before && {groupId: before.id, epoch: before.epoch};
+    this.previousAssignment = before && {
+      groupId: before.id,
+      epoch: before.epoch,
+    };
     return true;
   }
 
   /**
-   * True while an earlier life of this process may still be counted as a member
-   * somewhere: it must not offer itself to control yet.
+   * True while an earlier incarnation of this host may still be covered by a lease.
+   * Until then it must not report to the control plane.
    */
   isInStartupDelay(now: number): boolean {
     return now < this.startedAt + HEARTBEAT_LEASE_MS;
   }
 
-  /** True while the host still answers for what it left. */
-  private isBound(now: number): boolean {
-    return now < this.boundUntil;
+  /** True while the lease of the last answered heartbeat has not expired. */
+  private isLeaseActive(now: number): boolean {
+    return now < this.leasedUntil;
   }
 
   /**
-   * True while the first member of the group that this host left may still
-   * count it. A host that leads its new group must not serve before that is over.
+   * True while the first member of the group that this host left may still hold a
+   * lease. A host that leads its new group must not serve before that has expired.
    */
   isLeasedElsewhere(now: number): boolean {
-    return this.boundTo !== null && this.isBound(now);
+    return this.previousAssignment !== null && this.isLeaseActive(now);
   }
 
-  /** What to tell control: an old group is named until the host is free of it. */
+  /** Returns the assignment to report: the old group until its lease has expired. */
   getReportedAssignment(now: number): Assignment | null {
     if (this.currentGroup) {
       return {groupId: this.currentGroup.id, epoch: this.currentGroup.epoch};
     }
-    return this.isBound(now) ? this.boundTo : null;
+    return this.isLeaseActive(now) ? this.previousAssignment : null;
   }
 
   /**
    * Decides whether to answer a heartbeat as a member.
    *
-   * @param asker the first member, as it introduced itself on the connection
+   * @param asker the sender, as it identified itself on the connection
    */
-  answerHeartbeat(ask: Assignment, asker: ProcessName, now: number): boolean {
+  answerHeartbeat(ask: Assignment, asker: HostProcess, now: number): boolean {
     const group = this.currentGroup;
     if (group?.id !== ask.groupId || group.epoch !== ask.epoch) {
       return false;
     }
     const isFirst = group.members[0].hostId === asker.hostId;
-    const isWaiting =
-      this.isLeasedElsewhere(now) && !this.hasOldFirstMoved(asker);
+    const isWaiting = this.isLeasedElsewhere(now) && !this.isLeaseHolder(asker);
     if (!isFirst || isWaiting) {
       return false;
     }
-    this.answeredTo = asker;
-    this.boundUntil = now + HEARTBEAT_LEASE_MS;
-    this.boundTo = null;
+    this.leaseHolder = asker;
+    this.leasedUntil = now + HEARTBEAT_LEASE_MS;
+    this.previousAssignment = null;
     return true;
   }
 
-  /** Whoever asks under the new epoch no longer serves under the old one. */
-  private hasOldFirstMoved(asker: ProcessName): boolean {
+  /** The holder of the old lease no longer serves under it once it asks under the new epoch. */
+  private isLeaseHolder(asker: HostProcess): boolean {
     return (
-      this.answeredTo?.hostId === asker.hostId &&
-      this.answeredTo.incarnation === asker.incarnation
+      this.leaseHolder?.hostId === asker.hostId &&
+      this.leaseHolder.incarnation === asker.incarnation
     );
   }
 }
--- a/test/coordination/membership.test.ts
+++ b/test/coordination/membership.test.ts
@@ -23,7 +23,7 @@
   };
 }
 
-/** One life of a host process: its membership, and its lease if it is a first member. */
+/** A host process: its membership, and its lease if it is a first member. */
 class FakeHost {
   membership: Membership;
   lease: GroupLease | undefined;
@@ -51,7 +51,7 @@
   }
 }
 
-/** An answer on its way to the first member that asked. */
+/** A heartbeat answer in flight to the first member that asked. */
 interface Answer {
   readonly to: string;
   readonly toIncarnation: number;
@@ -61,7 +61,7 @@
   readonly askedAt: number;
 }
 
-/** Hosts, control's table, and answers under way; every step is chosen from outside. */
+/** Hosts, the control plane's group table, and answers in flight; the property chooses every step. */
 class FakeFleet {
   now = 10_000;
   readonly table = GroupTable.create();
@@ -72,7 +72,7 @@
     return this.hosts.get(hostId) as FakeHost;
   }
 
-  /** Control may only give a host to a group when the host itself reports none. */
+  /** The control plane may add a host to a group only if the host itself reports none. */
   propose(id: string, members: string[]): void {
     const isFree = (hostId: string) => {
       const {membership} = this.get(hostId);
@@ -91,7 +91,7 @@
     this.table.remove(id, this.table.findEpoch(id));
   }
 
-  /** A host hears control's newest word. */
+  /** Delivers the current assignment to a host. */
   tell(hostId: string): void {
     const host = this.get(hostId);
     if (!host.membership.isInStartupDelay(this.now)) {
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Groups and epochs that serve right now and count this host as a member. */
+  /** Lists the groups and epochs that serve now with this host as a member. */
   listServing(hostId: string): string[] {
     return [...this.hosts.values()]
       .filter(({membership}) => !membership.isLeasedElsewhere(this.now))
@@ -178,7 +178,7 @@
 );
 type Step = typeof step extends fc.Arbitrary<infer T> ? T : never;
 
-function play(fleet: FakeFleet, chosen: Step): void {
+function apply(fleet: FakeFleet, chosen: Step): void {
   const actions: {[T in Step['do']]: (step: Extract<Step, {do: T}>) => void} = {
     propose: ({groupId, members}) => fleet.propose(groupId, members),
     remove: ({groupId}) => fleet.remove(groupId),
@@ -193,13 +193,13 @@
 }
 
 describe('membership', () => {
-  test('no host is counted by two serving groups or epochs at once, whatever is late, lost or restarted', () => {
+  test('no host is a member of two serving groups or epochs at once, with late or lost messages and restarts', () => {
     let served = 0;
     fc.assert(
       fc.property(fc.array(step, {minLength: 80, maxLength: 300}), steps => {
         const fleet = new FakeFleet();
         for (const chosen of steps) {
-          play(fleet, chosen);
+          apply(fleet, chosen);
           for (const hostId of HOSTS) {
             const serving = fleet.listServing(hostId);
             served += serving.length;
@@ -211,11 +211,11 @@
       }),
       {numRuns: RUNS, seed: 20_261_202},
     );
-    // The property says nothing unless groups did serve.
+    // The property is vacuous unless groups did serve.
     expect(served).toBeGreaterThan(RUNS);
   });
 
-  test('a heartbeat counts from when it was asked for, so a late answer is not fresh', () => {
+  test('a heartbeat is valid from the time of its request, so a late answer is not recent', () => {
     const lease = GroupLease.create(createGroup('g', 1, ['h1', 'h2']), 'h1', 0);
     lease.recordHeartbeat('h2', 1_000);
 
@@ -223,7 +223,7 @@
     expect(lease.isHeld(1_000 + HEARTBEAT_LEASE_MS)).toBe(false);
   });
 
-  test('a host that leaves reports its old group until its last heartbeat has run out', () => {
+  test('a host that leaves reports its old group until the lease of its last heartbeat has expired', () => {
     const membership = Membership.create(0);
     membership.assign(createGroup('g', 1, ['h1', 'h2']));
     membership.answerHeartbeat(
@@ -256,7 +256,7 @@
     ).toBe(true);
   });
 
-  test('a new first member has to wait until the old one cannot serve any more', () => {
+  test('a new first member has to wait until the lease of the old one has expired', () => {
     const membership = Membership.create(0);
     membership.assign(createGroup('g', 1, ['h1', 'h2']));
     const old = {hostId: 'h1', incarnation: 'i'};
--- a/test/coordination/plan_engine_groups.test.ts
+++ b/test/coordination/plan_engine_groups.test.ts
@@ -9,7 +9,7 @@
   told,
 } from '../support/engine_plan';
 
-describe('the first start', () => {
+describe('a cold start', () => {
   test('fills each domain with groups of both models and keeps spares', () => {
     const backends = ['a', 'b', 'c'].flatMap(domain => hosts(domain, 8));
     const actions = plan({
@@ -33,8 +33,8 @@
   });
 });
 
-describe('a group that is formed', () => {
-  test('tells every member to join, and opens only when all are ready', () => {
+describe('a forming group', () => {
+  test('orders every member to join, and opens only when all are ready', () => {
     const groups = [group(['a', 'b'])];
     const joining = plan({groups, backends: [host('a'), host('b')]});
     expect(describeActions(joining)).toEqual(['join a', 'join b']);
@@ -60,18 +60,18 @@
   const backends = [host('a', told('open')), host('b', told('ready', 1))];
   const isLost = (incarnation: string) => incarnation === 'b';
 
-  test('is ended for good before anything else', () => {
+  test('is ended before anything else', () => {
     const actions = plan({groups: [group(['a', 'b'])], backends, isLost});
     expect(describeActions(actions)).toEqual(['end-group low-1']);
   });
 
-  test('is not used again while its head still counts on it', () => {
+  test('is not reused while its head still holds it', () => {
     const groups = [group(['a', 'b'], {isEnding: true})];
     const actions = plan({groups, backends, isLost});
     expect(describeActions(actions)).toEqual(['leave a']);
   });
 
-  test('is removed once its head has let go', () => {
+  test('is removed once its head has released it', () => {
     const groups = [group(['a', 'b'], {isEnding: true})];
     const after = [host('a'), host('b', told('ready', 1))];
     const actions = plan({groups, backends: after, isLost});
@@ -102,17 +102,17 @@
   });
 });
 
-describe('a head that is silent', () => {
+describe('an unreachable head', () => {
   const groups = [group(['a', 'b'], {isEnding: true})];
   const backends = [host('a', told('open')), host('b', told('ready', 1))];
   const isLost = (incarnation: string) => incarnation === 'a';
 
-  test('is made to break by a member that leaves', () => {
+  test('breaks its group after a member is ordered to leave', () => {
     const actions = plan({groups, backends, isLost});
     expect(describeActions(actions)).toEqual(['leave b']);
   });
 
-  test('holds its members until the time is over, however long it was silent', () => {
+  test('holds its members until it is fenced, however long it was unreachable', () => {
     const left = [host('a', told('open'), 0), host('b')];
     const waiting = plan({
       groups,
@@ -135,7 +135,7 @@
     expect(describeActions(over)).toEqual(['remove-group low-1']);
   });
 
-  test('that a new leader never heard is not taken for dead', () => {
+  test('is not taken for dead by a new leader that never heard it', () => {
     const known = [host('b', told('ready', 1))];
     const actions = plan({
       groups: [group(['a', 'b'])],
@@ -146,10 +146,10 @@
   });
 });
 
-describe('a member that leaves by plan', () => {
+describe('a member that is retired', () => {
   const isRetired = (incarnation: string) => incarnation === 'b';
 
-  test('stays until the group has finished its work', () => {
+  test('stays until the group has finished its requests', () => {
     const groups = [group(['a', 'b'], {isEnding: true})];
     const at = (state: Told['state']) => [
       host('a', told(state)),
@@ -166,14 +166,14 @@
   test('joins no other group', () => {
     const backends = [host('a'), host('b')];
     const usual = new Map([['low', 1]]);
-    // The other host parks; nothing is planned for the one that leaves.
+    // The other host preloads a model; nothing is planned for the retired one.
     const actions = plan({backends, isRetired, usual});
     expect(describeActions(actions)).toEqual(['join a']);
     expect(actions[0]).toMatchObject({group: {name: 'parked-a'}});
   });
 });
 
-describe('a group that ends', () => {
+describe('an ending group', () => {
   const held = {model: 'low', stagedModels: ['big']};
   const spares = [host('s', held), host('t', held)];
   const members = [host('a', told('open')), host('b', told('ready', 1))];
@@ -181,13 +181,13 @@
   const usual = new Map([['low', 1]]);
   const backends = [...members, ...spares];
 
-  test('is formed anew from its own hosts, not from the spares of others', () => {
+  test('is formed again from its own hosts, not from the spares of others', () => {
     const isLost = (incarnation: string) => incarnation === 'b';
     const actions = plan({groups, backends, usual, isLost});
     expect(describeActions(actions)).toEqual(['leave a']);
   });
 
-  test('is replaced by spares while a silent head holds its hosts', () => {
+  test('is replaced with spares while an unreachable head holds its hosts', () => {
     const isLost = (incarnation: string) => incarnation === 'a';
     const actions = plan({groups, backends, usual, isLost});
     expect(describeActions(actions)).toContain('set-group low-2');
--- a/test/coordination/plan_engine_hosts.test.ts
+++ b/test/coordination/plan_engine_hosts.test.ts
@@ -8,13 +8,13 @@
   told,
 } from '../support/engine_plan';
 
-describe('hosts without a place', () => {
+describe('hosts without a group', () => {
   const usual = new Map([
     ['big', 2],
     ['low', 2],
   ]);
 
-  test('take a model into memory before any group waits for it', () => {
+  test('load a model into memory before any group waits for it', () => {
     const actions = plan({backends: hosts('d', 4), usual});
     expect(describeActions(actions)).toEqual([
       'join d0',
@@ -28,13 +28,13 @@
     });
   });
 
-  test('take the model that lies on their own disk without a load', () => {
+  test('take the model on their own disk without a load from the store', () => {
     const backends = [host('a', {stagedModels: ['low']})];
     const [action] = plan({backends, usual});
     expect(action).toMatchObject({kind: 'join', model: 'low', isLoad: false});
   });
 
-  test('form a slow group over two domains rather than none', () => {
+  test('form a slow cross-domain group rather than none', () => {
     const changes = {model: 'big', stagedModels: ['big']};
     const backends = [...hosts('a', 3, changes), ...hosts('b', 1, changes)];
     const low = group(['x', 'y']);
@@ -48,7 +48,7 @@
     });
   });
 
-  test('stay spares while half of the usual groups of a model stand', () => {
+  test('stay spares while a model has half of its desired groups', () => {
     const changes = {model: 'big', stagedModels: ['low']};
     const domains = ['a', 'b', 'c', 'e'];
     const backends = domains.flatMap(domain => hosts(domain, 1, changes));
@@ -61,19 +61,19 @@
     expect(describeActions(actions)).toEqual([]);
   });
 
-  test('that serve a group which control has given up are told to leave', () => {
+  test('that serve a group which is no longer committed are ordered to leave', () => {
     const backends = [host('a', told('open'))];
     expect(describeActions(plan({backends}))).toEqual(['leave a']);
   });
 
-  test('that serve such a group and are silent are left alone', () => {
+  test('that serve such a group and are unreachable get no order', () => {
     const backends = [host('a', told('open'), 0)];
     expect(plan({backends})).toEqual([]);
   });
 });
 
-describe('a model of which requests are refused', () => {
-  test('gets one more group from spares, and leaves one of them', () => {
+describe('an overloaded model', () => {
+  test('gets one more group from spares, but not from the last spare', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const usual = new Map([['low', 1]]);
     const groups = [group(['x', 'y'])];
@@ -92,7 +92,7 @@
   });
 });
 
-describe('a model that has fewer hosts for its share', () => {
+describe('a model with fewer hosts for its share', () => {
   const held = {model: 'low', stagedModels: ['big']};
   const small = [1, 2, 3].map(number =>
     group([`m${number}`, `n${number}`], {
@@ -121,18 +121,18 @@
     ]),
   };
 
-  test('gets the hosts of another where they and spares are enough', () => {
+  test('gets the hosts of another model if they and spares are enough', () => {
     const isPressed = (model: string) => model === 'big';
     const actions = plan({...input, isPressed});
     expect(describeActions(actions)).toContain('end-group low-2');
   });
 
-  test('takes nothing while none of its requests are refused', () => {
+  test('gets nothing while none of its requests are refused', () => {
     expect(describeActions(plan(input))).not.toContain('end-group low-2');
   });
 });
 
-describe('second copies of weights', () => {
+describe('copies of weights on disk', () => {
   const usual = new Map([['low', 1]]);
 
   test('are kept by spares and by members, spares first', () => {
@@ -151,7 +151,7 @@
     expect(actions[0]).toMatchObject({model: 'big', isLoad: true});
   });
 
-  test('do not push out the copy that is at hand', () => {
+  test('do not evict the existing copy', () => {
     const backends = [host('a', {model: 'low', stagedModels: ['big']})];
     expect(plan({backends, usual: new Map()})).toEqual([]);
   });
@@ -170,8 +170,8 @@
   });
 });
 
-describe('a group over two domains', () => {
-  test('gives way when its hosts and free ones fit into one', () => {
+describe('a cross-domain group', () => {
+  test('is ended when its hosts and free ones can form a single-domain group', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const backends = [
       host('a', {...held, ...told('open')}),
@@ -184,7 +184,7 @@
     expect(describeActions(actions)).toContain('end-group low-1');
   });
 
-  test('stays while it is the only one of a model that refuses requests', () => {
+  test('stays while it is the only group of an overloaded model', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const backends = [
       host('a', {...held, ...told('open')}),
@@ -199,7 +199,7 @@
     expect(describeActions(actions)).not.toContain('end-group low-1');
   });
 
-  test('is not replaced by another while it gives way', () => {
+  test('is not replaced with another one while it ends', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const backends = [
       host('a', {...held, ...told('open')}),
--- a/test/coordination/plan_groups.test.ts
+++ b/test/coordination/plan_groups.test.ts
@@ -91,17 +91,17 @@
 
 describe('a group that lost a member', () => {
   const group = createGroup();
-  const well = [createHost('h1', {}, group), createHost('h2', {}, group)];
+  const healthy = [createHost('h1', {}, group), createHost('h2', {}, group)];
   const lost = createHost('h3', {seenAt: NOW - 2_000}, group);
 
-  test('takes a spare that has the model loaded at once', () => {
-    const [action] = plan([group], [...well, lost, createHost('h4')]);
+  test('is repaired at once with a spare that has the model loaded', () => {
+    const [action] = plan([group], [...healthy, lost, createHost('h4')]);
 
     expect(listMembers(action)).toEqual(['h1', 'h2', 'h4']);
     expect(action.reason).toMatch(/^lost h3: spare costs \d+, wait costs \d+/);
   });
 
-  test('waits for its return while the spare would have to load first, and takes it when silence lasts', () => {
+  test('waits for the member while the spare would have to load, and takes the spare after a long silence', () => {
     const spare = createHost('h4');
     const cold = {
       ...spare,
@@ -112,18 +112,16 @@
     } as HostView;
     const longLost = {...lost, seenAt: NOW - 60_000};
 
-    expect(plan([group], [...well, lost, cold])).toEqual([]);
-    expect(listMembers(plan([group], [...well, longLost, cold])[0])).toEqual([
-      'h1',
-      'h2',
-      'h4',
-    ]);
+    expect(plan([group], [...healthy, lost, cold])).toEqual([]);
+    expect(listMembers(plan([group], [...healthy, longLost, cold])[0])).toEqual(
+      ['h1', 'h2', 'h4'],
+    );
   });
 
-  test('keeps waiting when there is nothing else to do', () => {
-    expect(plan([group], [...well, {...lost, seenAt: NOW - 500_000}])).toEqual(
-      [],
-    );
+  test('keeps waiting if there is no other option', () => {
+    expect(
+      plan([group], [...healthy, {...lost, seenAt: NOW - 500_000}]),
+    ).toEqual([]);
   });
 
   test('moves to another domain when only that has room', () => {
@@ -131,7 +129,7 @@
       const host = createHost(id);
       return {...host, report: {...host.report, domain: 'd2'}};
     });
-    const hosts = [...well, {...lost, seenAt: NOW - 60_000}, ...elsewhere];
+    const hosts = [...healthy, {...lost, seenAt: NOW - 60_000}, ...elsewhere];
 
     expect(plan([group], hosts)[0]).toMatchObject({
       type: 'remove-group',
@@ -142,7 +140,7 @@
   test('drains a group of lower worth in its domain for its hosts', () => {
     const donor = createGroup('extra', ['e1', 'e2', 'e3']);
     const hosts = [
-      ...well,
+      ...healthy,
       {...lost, seenAt: NOW - 60_000},
       ...['e1', 'e2', 'e3'].map(id => createHost(id, {}, donor)),
     ];
@@ -155,17 +153,17 @@
     });
   });
 
-  test('does not take a host that was lost again and again lately', () => {
+  test('does not get a host that was lost repeatedly', () => {
     const flapping = createHost('h4', {
       losses: 3,
       lostAt: NOW - 20_000,
     });
 
     expect(computeQuarantineMs(3)).toBe(30_000);
-    expect(plan([group], [...well, lost, flapping])).toEqual([]);
+    expect(plan([group], [...healthy, lost, flapping])).toEqual([]);
   });
 
-  test('replaces its first member when that alone hears nobody', () => {
+  test('replaces its first member if only that one is partitioned', () => {
     const missingSince = NOW - 3_000;
     const hosts = [
       createHost('h1', {}, group),
@@ -177,13 +175,13 @@
     expect(listMembers(plan([group], hosts)[0])).toEqual(['h2', 'h3', 'h4']);
   });
 
-  test('gives one spare to one group only', () => {
+  test('shares no spare with another group', () => {
     const other = {
       ...createGroup('assistant', ['g1', 'g2', 'g3']),
       id: 'assistant-2',
     };
     const hosts = [
-      ...well,
+      ...healthy,
       lost,
       createHost('g1', {}, other),
       createHost('g2', {}, other),
@@ -214,21 +212,21 @@
     donorWorth: undefined,
     canReassignSurvivors: false,
   };
-  const [kura] = computeRepairCosts({
+  const [costlyDowntime] = computeRepairCosts({
     ...broken,
     weights: {groupDowntime: 3, strandedAccelerators: 1},
   });
-  const [linen] = computeRepairCosts({
+  const [costlyStranding] = computeRepairCosts({
     ...broken,
     weights: {groupDowntime: 1, strandedAccelerators: 3},
   });
 
-  expect(kura.action).toBe('spare');
-  expect(linen.action).toBe('spare');
-  expect(kura.cost / linen.cost).toBeGreaterThan(1);
+  expect(costlyDowntime.action).toBe('spare');
+  expect(costlyStranding.action).toBe('spare');
+  expect(costlyDowntime.cost / costlyStranding.cost).toBeGreaterThan(1);
 });
 
-test('free engines load the model of their domain that is worth most, hosts in groups none', () => {
+test('free engines load the model of highest worth in their domain, group members none', () => {
   const group = createGroup();
   const hosts = [createHost('h1', {}, group), createHost('h4')];
   const input = {
--- a/test/coordination/plan_needier_model.test.ts
+++ b/test/coordination/plan_needier_model.test.ts
@@ -14,7 +14,7 @@
 const holdsBig = {model: 'big', stagedModels: ['low']};
 const holdsLow = {model: 'low', stagedModels: ['big']};
 
-/** Whole, open groups of the small model in a domain, and their hosts. */
+/** Creates complete, open groups of the small model in a domain, and their hosts. */
 function createSmallGroups(
   domain: string,
   numbers: readonly number[],
@@ -36,7 +36,7 @@
   return {groups, views};
 }
 
-describe('hosts of a domain in which the needier model can soon form a group', () => {
+describe('hosts of a domain in which the model with greater need can soon form a group', () => {
   const {groups, views} = createSmallGroups('e', [1, 2]);
   const survivors = ['a', 'b', 'c'].map(name => host(name, holdsBig));
   const usual = new Map([
@@ -51,7 +51,7 @@
     expect(actions.filter(({type}) => type === 'set-group')).toEqual([]);
   });
 
-  test('include an empty one, which loads the needier model', () => {
+  test('include an empty one, which loads the model with greater need', () => {
     const others = hosts('f', 3, holdsBig);
     const backends = [...views, ...survivors, ...others, host('new')];
     const [order] = plan({groups, backends, usual}).filter(
@@ -66,13 +66,13 @@
     });
   });
 
-  test('are used by the other model when too few are left for the needier', () => {
+  test('are used by the other model when too few remain for the one with greater need', () => {
     const actions = plan({groups, backends: [...views, ...survivors], usual});
 
     expect(describeActions(actions)).toContain('set-group low-3');
   });
 
-  test('are used by the other model while that is needier', () => {
+  test('are used by the other model while that has the greater need', () => {
     const big = group(['p', 'q', 'r', 's'], {name: 'big-1', model: 'big'});
     const backends = [...views, ...survivors, host('new')];
     const actions = plan({
@@ -89,8 +89,8 @@
   });
 });
 
-describe('a host without a model in memory that a group waits for', () => {
-  test('loads that model, also with the other one on its disk', () => {
+describe('an empty host that is reserved for a group', () => {
+  test('loads the model of that group, even with the other one on its disk', () => {
     const survivors = ['a', 'b', 'c'].map(name => host(name, holdsBig));
     const back = host('back', {stagedModels: ['low']});
     const {groups, views} = createSmallGroups('e', [1]);
@@ -107,8 +107,8 @@
   });
 });
 
-describe('empty hosts that no group waits for', () => {
-  test('are shared out by what other empty hosts are loading already', () => {
+describe('empty hosts without a reservation', () => {
+  test('are divided between models by what other empty hosts are loading already', () => {
     const loading = new Map([
       ['a', 'low'],
       ['b', 'low'],
@@ -125,14 +125,14 @@
     ]);
   });
 
-  test('are parked under an epoch that no engine has seen a higher one of', () => {
+  test('preload a model under the newest epoch', () => {
     const actions = plan({backends: [host('a')], epoch: 41});
 
     expect(actions).toMatchObject([{kind: 'join', group: {epoch: 41}}]);
   });
 });
 
-describe('a needier model of which requests are refused', () => {
+describe('an overloaded model with the greater need', () => {
   const isPressed = (model: string) => model === 'big';
   const {groups, views} = createSmallGroups('d', [1, 2]);
   const elsewhere = createSmallGroups('e', [3, 4]);
@@ -146,7 +146,7 @@
     isPressed,
   };
 
-  test('gets the hosts of two groups of one domain where one is too few', () => {
+  test('gets the hosts of two groups of one domain if one has too few', () => {
     const ended = plan(input).filter(({type}) => type === 'end-group');
 
     expect(describeActions(ended)).toEqual([
@@ -155,7 +155,7 @@
     ]);
   });
 
-  test('gets them while a silent head holds the hosts of its own group', () => {
+  test('gets them while an unreachable head holds the hosts of its own group', () => {
     const held = group(['x', 'y', 'z', 'w'], {
       name: 'big-1',
       model: 'big',
@@ -179,7 +179,7 @@
     expect(ended).toMatchObject({isMove: true});
   });
 
-  test('forms no slow group over two domains while hosts are about to be free', () => {
+  test('forms no slow cross-domain group while hosts are about to be free', () => {
     const spread = ['g', 'h', 'i', 'j'].flatMap(domain =>
       hosts(domain, 1, holdsBig),
     );
@@ -193,7 +193,7 @@
     expect(describeActions(after)).not.toContain('set-group big-1');
   });
 
-  test('gets them under a new leader, which never heard the silent head', () => {
+  test('gets them under a new leader that never heard the unreachable head', () => {
     const held = group(['x', 'y', 'z', 'w'], {
       name: 'big-1',
       model: 'big',
@@ -210,7 +210,7 @@
     ]);
   });
 
-  test('gets nothing while another group is being taken apart', () => {
+  test('gets nothing while another group is ending', () => {
     const leaving = createSmallGroups('f', [5]);
     const ending = {...leaving.groups[0], isEnding: true};
     const ended = plan({
@@ -242,7 +242,7 @@
     expect(describeActions(listEnded([]))).toEqual(['end-group low-1']);
   });
 
-  test('gets nothing from a group that is only being formed', () => {
+  test('gets nothing from a forming group', () => {
     const backends = input.backends.map(view => {
       const {group: told} = view.registration;
       const joining = told && {...told, state: 'joining' as const};
@@ -270,7 +270,7 @@
     expect(describeActions(actions)).not.toContain('end-group low-1');
   });
 
-  test('gets nothing that would leave the other model needier', () => {
+  test('gets nothing that would give the other model the greater need', () => {
     const ended = plan({
       ...input,
       groups,
@@ -282,7 +282,7 @@
   });
 });
 
-describe('the usual number of groups of a model', () => {
+describe('the desired number of groups of a model', () => {
   const count = (...domains: number[]) => [
     ...computeDesiredGroups(PROFILE, domains),
   ];
@@ -294,7 +294,7 @@
     ]);
   });
 
-  test('falls and rises with the hosts that there are', () => {
+  test('follows the number of present hosts', () => {
     expect(count(6, 6, 5)).toEqual([
       ['big', 2],
       ['low', 2],
@@ -305,7 +305,7 @@
     ]);
   });
 
-  test('is one while there are hosts enough for one', () => {
+  test('is at least one while there are enough hosts for one', () => {
     expect(count(4)).toEqual([
       ['big', 1],
       ['low', 1],
@@ -317,8 +317,8 @@
   });
 });
 
-describe('two models that lack groups alike', () => {
-  test('are formed in the order of their sizes, also where the smaller is ready sooner', () => {
+describe('two models with equal need', () => {
+  test('are formed in order of group size, even if the smaller is ready sooner', () => {
     const backends = hosts('d', 4, holdsLow);
     const [action] = plan({
       backends,
@@ -331,10 +331,10 @@
   });
 });
 
-// At the first start of 370 hosts in ten domains of 37 the plan used 264 of them: a
-// quarter of each domain was kept, 9 hosts, and with groups of 16 and 8 four more had no
-// use. Eight groups of the larger model were overloaded whenever two or three were lost
-// at once, while 106 hosts served nobody.
+// With a quarter of each domain as spares, a cold start of 370 hosts in ten domains of 37
+// used only 264: 9 hosts of each domain were spares, and 4 more fitted no group of 16 or
+// 8. The eight groups of the larger model were overloaded whenever two or three were lost
+// at once, while 106 hosts were idle.
 test('a large fleet keeps few spares in each domain', () => {
   const [big, low] = PROFILE.models;
   const models = [
--- a/test/coordination/plan_under_losses.test.ts
+++ b/test/coordination/plan_under_losses.test.ts
@@ -1,7 +1,7 @@
 /**
- * Load: members of groups are lost every three seconds, a few hosts are cut off
- * for a while, and empty hosts come in their place, which need some 14 s for their
- * first weights. What hosts do meanwhile decides how much of the demand is served.
+ * Simulates continuous losses: a group member is lost every three seconds, a few hosts
+ * are partitioned for a while, and empty replacement hosts need about 14 s for their
+ * first weights. The use of the other hosts meanwhile decides how much demand is served.
  */
 import {describe, expect, test} from 'vitest';
 import {EngineFleet} from '../support/engine_fleet';
@@ -28,7 +28,7 @@
   ],
 };
 
-function play(policy?: Parameters<typeof EngineFleet.play>[0]['policy']) {
+function simulate(policy?: Parameters<typeof EngineFleet.play>[0]['policy']) {
   const results = SEEDS.map(seed =>
     EngineFleet.play({
       profile,
@@ -48,19 +48,21 @@
   return {results, covered: sum / results.length};
 }
 
-describe('a fleet that loses members all the time', () => {
-  const now = play();
+describe('a fleet that loses members continuously', () => {
+  const baseline = simulate();
 
   test('serves nearly nine tenths of its demand', () => {
-    expect(now.covered).toBeGreaterThan(0.88);
+    expect(baseline.covered).toBeGreaterThan(0.88);
   });
 
-  test('serves the same when it is played again', () => {
-    expect(play().results[0].log).toEqual(now.results[0].log);
+  test('gives the same result when the simulation is repeated', () => {
+    expect(simulate().results[0].log).toEqual(baseline.results[0].log);
   });
 
   test('leaves no model without groups for most of the time', () => {
-    const parts = now.results.flatMap(({byModel}) => Object.values(byModel));
+    const parts = baseline.results.flatMap(({byModel}) =>
+      Object.values(byModel),
+    );
     expect(Math.min(...parts)).toBeGreaterThan(0.5);
   });
 });
@@ -71,7 +73,7 @@
   ['low', 2],
 ]);
 
-/** A whole group of the small model whose members were told so. */
+/** Creates a complete group of the small model whose members report it. */
 function createLow(number: number, domain: string) {
   const name = `low-${number}`;
   const members = [`${name}a`, `${name}b`];
@@ -90,9 +92,9 @@
   const low1 = createLow(1, 'e');
   const spares = ['a', 'b'].map(name => host(name, holdsBig));
 
-  test('wait for those of their domain that a silent head still holds', () => {
+  test('are reserved together with those of their domain that an unreachable head still holds', () => {
     const members = ['h', 'p', 'q', 'r'];
-    const held = group(members, {
+    const heldGroup = group(members, {
       name: 'big-1',
       model: 'big',
       epoch: 9,
@@ -101,7 +103,7 @@
     });
     const others = members.slice(1).map(name => host(name, holdsBig));
     const actions = plan({
-      groups: [low1.set, held],
+      groups: [low1.set, heldGroup],
       backends: [...low1.views, ...others, ...spares],
       usual,
       isLost: name => name === 'h',
@@ -129,12 +131,12 @@
     return {set, views};
   });
 
-  test('is not ended for a model whose groups are held by silent heads and soon back', () => {
+  test('is not ended for a model whose groups are held by unreachable heads and return soon', () => {
     const {set, views} = createLow(1, 'e');
-    const held = {...set, isEnding: true, isReleased: true};
+    const heldGroup = {...set, isEnding: true, isReleased: true};
     const second = {...createLow(2, 'f').set, isEnding: true, isReleased: true};
     const actions = plan({
-      groups: [...bigs.map(({set}) => set), held, second],
+      groups: [...bigs.map(({set}) => set), heldGroup, second],
       backends: [...bigs.flatMap(({views}) => views), ...views],
       usual,
       isPressed: model => model === 'low',
--- a/test/coordination/share_adjuster.test.ts
+++ b/test/coordination/share_adjuster.test.ts
@@ -1,8 +1,9 @@
 /**
- * Load: callers ask much more of the small model than of the large one, while both
- * have half of the hosts. At 1.5 times the usual traffic for 12 s 38 to 167 of some
- * 290 answers of the small model were late in each 2 s and 80 were refused in one of
- * them, while the large model's three groups answered 23 to 31 and none late.
+ * Guards against fixed shares under a burst: both models have half of the hosts, but
+ * the small one gets most of the traffic. At 1.5 times the normal traffic for 12 s,
+ * 38 to 167 of about 290 answers of the small model were late in each 2 s, and 80 were
+ * refused in one of these intervals. The three groups of the large model answered 23
+ * to 31 meanwhile, none late.
  */
 import {describe, expect, test} from 'vitest';
 import {computeDesiredGroups} from '../../src/coordination/groups/compute_desired_groups';
@@ -25,22 +26,22 @@
 
 interface Phase {
   readonly forMs: number;
-  /** Groups that the demand of each model fills. */
+  /** Demand for each model, in groups at capacity. */
   readonly big: number;
   readonly low: number;
   readonly domains?: readonly number[];
 }
 
-/** Follows the demand, and tells when the groups that each model should have changed. */
-function follow(phases: readonly Phase[], noise = 0) {
-  const follower = ShareAdjuster.create();
+/** Replays the phases and returns each change of the desired groups. */
+function replay(phases: readonly Phase[], noise = 0) {
+  const adjuster = ShareAdjuster.create();
   const random = createRandom(1);
   const changes: string[] = [];
   let now = 0;
   for (const {forMs, big, low, domains = DOMAINS} of phases) {
     for (const until = now + forMs; now < until; now += STEP_MS) {
       const factor = 1 + noise * (random() - 0.5);
-      const {profile} = follower.update({
+      const {profile} = adjuster.update({
         profile: PROFILE_12_6,
         domains,
         demand: createDemand(
@@ -55,9 +56,9 @@
         countGroups: () => 0,
       });
       const counts = computeDesiredGroups(profile, domains);
-      const told = `${counts.get('big')} and ${counts.get('low')}`;
-      if (told !== changes.at(-1)?.split(': ')[1]) {
-        changes.push(`${now}: ${told}`);
+      const counted = `${counts.get('big')} and ${counts.get('low')}`;
+      if (counted !== changes.at(-1)?.split(': ')[1]) {
+        changes.push(`${now}: ${counted}`);
       }
     }
   }
@@ -67,50 +68,50 @@
   });
 }
 
-const USUAL = {big: 0.9, low: 3.6};
+const NORMAL = {big: 0.9, low: 3.6};
 const BURST = {big: 1.3, low: 5.5};
 
-describe('the split of the hosts', () => {
-  test('stays as configured while the demand fits it', () => {
-    const changes = follow([{forMs: 60_000, big: 1.2, low: 2.4}], 0.4);
+describe('the shares of the hosts', () => {
+  test('stay as configured while they meet the demand', () => {
+    const changes = replay([{forMs: 60_000, big: 1.2, low: 2.4}], 0.4);
     expect(changes).toEqual([{at: 0, counts: '3 and 6'}]);
   });
 
-  test('stays as configured while nobody asks for anything', () => {
-    const changes = follow([{forMs: 20_000, big: 0, low: 0}]);
+  test('stay as configured without demand', () => {
+    const changes = replay([{forMs: 20_000, big: 0, low: 0}]);
     expect(changes).toEqual([{at: 0, counts: '3 and 6'}]);
   });
 
-  test('follows a burst within two seconds', () => {
-    const [, change] = follow([
-      {forMs: 4_000, ...USUAL},
+  test('follow a burst within two seconds', () => {
+    const [, change] = replay([
+      {forMs: 4_000, ...NORMAL},
       {forMs: 14_000, ...BURST},
     ]);
     expect(change.counts).toBe('2 and 8');
     expect(change.at).toBeLessThan(6_000);
   });
 
-  test('does not go to and fro when bursts come again and again', () => {
+  test('do not oscillate under repeated bursts', () => {
     const phases = Array.from({length: 6}, () => [
-      {forMs: 4_000, ...USUAL},
+      {forMs: 4_000, ...NORMAL},
       {forMs: 3_000, ...BURST},
     ]);
-    expect(follow(phases.flat(), 0.4).length).toBeLessThanOrEqual(2);
+    expect(replay(phases.flat(), 0.4).length).toBeLessThanOrEqual(2);
   });
 
-  test('leaves each model two groups, so that the next loss leaves it one', () => {
-    const changes = follow([{forMs: 60_000, big: 0.001, low: 12}]);
+  test('leave each model two groups, so that the next loss leaves it one', () => {
+    const changes = replay([{forMs: 60_000, big: 0.001, low: 12}]);
     expect(changes.at(-1)?.counts).toBe('2 and 8');
   });
 
-  // Before the first answers had ended nothing was known of their length, and hosts
-  // were moved 0.2 s after the first callers came ("missed": 0).
-  test('stays as configured until the length of answers is known', () => {
-    const follower = ShareAdjuster.create();
+  // The length of answers is unknown until the first ones have ended. Hosts were moved
+  // 0.2 s after the first requests arrived, with no late answer recorded ("missed": 0).
+  test('stay as configured until the length of answers is known', () => {
+    const adjuster = ShareAdjuster.create();
     const demand = createDemand(PROFILE_12_6, new Map([['low', 12]]));
     const unknown = {...demand.low, answerTokensPerSecond: 0};
     const results = [0, 500, 1_000, 1_500].map(now =>
-      follower.update({
+      adjuster.update({
         profile: PROFILE_12_6,
         domains: DOMAINS,
         demand: {...demand, big: unknown},
@@ -133,14 +134,14 @@
     share: 1 / 3,
   }));
   const profile = {...PROFILE, models};
-  const follow3 = (phases: ReadonlyArray<readonly number[]>) => {
-    const follower = ShareAdjuster.create();
+  const replayThree = (phases: ReadonlyArray<readonly number[]>) => {
+    const adjuster = ShareAdjuster.create();
     let now = 0;
     return phases.map(demand => {
       let counts: number[] = [];
       for (const until = now + 20_000; now < until; now += STEP_MS) {
         const wanted = new Map(demand.map((groups, at) => [`m${at}`, groups]));
-        const followed = follower.update({
+        const result = adjuster.update({
           profile,
           domains: DOMAINS,
           demand: createDemand(profile, wanted),
@@ -148,15 +149,15 @@
           canRebalance: () => true,
           countGroups: () => 0,
         });
-        const usual = computeDesiredGroups(followed.profile, DOMAINS);
-        counts = models.map(({name}) => usual.get(name) ?? 0);
+        const desiredGroups = computeDesiredGroups(result.profile, DOMAINS);
+        counts = models.map(({name}) => desiredGroups.get(name) ?? 0);
       }
       return counts;
     });
   };
 
-  test('gives hosts to the one that needs them, from the one that can spare most', () => {
-    const [before, after] = follow3([
+  test('gives hosts to the overloaded model, from the one with the most spare capacity', () => {
+    const [before, after] = replayThree([
       [0.8, 1.5, 1.5],
       [0.8, 5.2, 0.6],
     ]);
@@ -166,8 +167,8 @@
     expect(after[2]).toBeGreaterThanOrEqual(2);
   });
 
-  test('turns round when the demand does', () => {
-    const [, one, other] = follow3([
+  test('reverses when the demand does', () => {
+    const [, one, other] = replayThree([
       [0.8, 1.5, 1.5],
       [0.8, 5.2, 0.6],
       [0.8, 0.6, 5.2],
@@ -178,9 +179,9 @@
   });
 });
 
-describe('a demand that turns round in the middle of a day', () => {
-  test('takes the hosts back', () => {
-    const changes = follow(
+describe('a demand that reverses', () => {
+  test('moves the hosts back', () => {
+    const changes = replay(
       [
         {forMs: 20_000, ...BURST},
         {forMs: 20_000, big: 2.6, low: 1.5},
@@ -196,8 +197,8 @@
   });
 });
 
-describe('a leader that has just begun', () => {
-  const begin = (big: number, low: number, share = 0.5) => {
+describe('a new leader', () => {
+  const describeDesired = (big: number, low: number, share = 0.5) => {
     const [first, second] = PROFILE_12_6.models;
     const models = [
       {...first, share},
@@ -215,33 +216,36 @@
     return `${counts.get('big')} and ${counts.get('low')}`;
   };
 
-  test('goes on with the split that it finds', () => {
-    expect(begin(2, 8)).toBe('2 and 8');
+  test('continues with the shares that the existing groups show', () => {
+    expect(describeDesired(2, 8)).toBe('2 and 8');
   });
 
-  test('takes no lost group for a change of the split', () => {
-    expect([begin(2, 6), begin(3, 5), begin(1, 8), begin(2, 7)]).toEqual([
-      '3 and 6',
+  test('does not mistake a lost group for a change of shares', () => {
+    expect([
+      describeDesired(2, 6),
+      describeDesired(3, 5),
+      describeDesired(1, 8),
+      describeDesired(2, 7),
+    ]).toEqual(['3 and 6', '3 and 6', '2 and 8', '2 and 8']);
+  });
+
+  test('uses the configured shares if there are no groups', () => {
+    expect([describeDesired(0, 0), describeDesired(0, 0, 0.33)]).toEqual([
       '3 and 6',
       '2 and 8',
-      '2 and 8',
     ]);
   });
-
-  test('goes by the configured shares where no group is there', () => {
-    expect([begin(0, 0), begin(0, 0, 0.33)]).toEqual(['3 and 6', '2 and 8']);
-  });
 });
 
-test('shares that an operator changes hold at once', () => {
-  const follower = ShareAdjuster.create();
-  const look = (share: number, now: number) => {
+test('shares that an operator changes apply at once', () => {
+  const adjuster = ShareAdjuster.create();
+  const updateShare = (share: number, now: number) => {
     const [first, second] = PROFILE_12_6.models;
     const models = [
       {...first, share},
       {...second, share: 1 - share},
     ];
-    return follower.update({
+    return adjuster.update({
       profile: {...PROFILE_12_6, models},
       domains: DOMAINS,
       demand: createDemand(PROFILE_12_6, new Map([['low', 12]])),
@@ -250,11 +254,11 @@
       countGroups: model => (model === 'big' ? 2 : 8),
     }).profile.models[0].share;
   };
-  expect(look(0.5, 0)).toBeCloseTo(0.33);
-  expect(look(0.6, 0)).toBe(0.6);
+  expect(updateShare(0.5, 0)).toBeCloseTo(0.33);
+  expect(updateShare(0.6, 0)).toBe(0.6);
 });
 
-describe('a fleet whose callers become half as many more for a while', () => {
+describe('a fleet whose traffic rises by half for a while', () => {
   const play = (followsDemand: boolean) =>
     EngineFleet.play({
       profile: PROFILE_12_6,
@@ -273,7 +277,7 @@
     expect(byModel.big).toBeGreaterThan(0.99);
   });
 
-  test('leaves the small model short with a fixed split', () => {
+  test('lacks hosts for the small model with fixed shares', () => {
     expect(play(false).byModel.low).toBeLessThan(0.93);
   });
 });
