--- a/src/coordination/groups/plan_engine_groups.ts
+++ b/src/coordination/groups/plan_engine_groups.ts
@@ -124,11 +124,11 @@
     return [{...removal, reason: `its head ${head} has let go`}];
   }
   // A complete group finishes its running requests before a member leaves.
-  const isWhole = findLost(group, views, input) === undefined;
-  if (isWhole && reported.state === 'closing') {
+  const isComplete = findLost(group, views, input) === undefined;
+  if (isComplete && reported.state === 'closing') {
     return [];
   }
-  const kind = isWhole && reported.state === 'open' ? 'close' : 'leave';
+  const kind = isComplete && reported.state === 'open' ? 'close' : 'leave';
   return [createOrder(kind, view, group, `${name} is taken apart`)];
 }
 
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -142,8 +142,8 @@
   {isEnding, members, name}: EngineGroup,
   {views}: DomainView,
 ): boolean {
-  const told = views.get(members[0].incarnation)?.registration.group;
-  return !isEnding && told?.name === name && told.state === 'open';
+  const reported = views.get(members[0].incarnation)?.registration.group;
+  return !isEnding && reported?.name === name && reported.state === 'open';
 }
 
 function countWithWeights(
