--- a/src/coordination/groups/estimate_late_fraction.ts
+++ b/src/coordination/groups/estimate_late_fraction.ts
@@ -43,11 +43,10 @@
   const prefillLoad = promptTokensPerSecond / profile.promptTokensPerSecond;
   const decodeLoad =
     (answerTokensPerSecond * profile.stepMsPerRequest) / MS_PER_SECOND;
-  const occupied = (answerTokensPerSecond * profile.stepMs) / MS_PER_SECOND;
-  const neededGroups =
-    model.pace * (prefillLoad + decodeLoad + occupied / profile.slots);
+  const held = (answerTokensPerSecond * profile.stepMs) / MS_PER_SECOND;
+  const needed = model.pace * (prefillLoad + decodeLoad + held / profile.slots);
   return (
     LATE_FRACTION_AT_CAPACITY *
-    (neededGroups / Math.max(groups, MIN_GROUPS)) ** UTILIZATION_EXPONENT
+    (needed / Math.max(groups, MIN_GROUPS)) ** UTILIZATION_EXPONENT
   );
 }
