--- a/src/coordination/groups/estimate_recovery.ts
+++ b/src/coordination/groups/estimate_recovery.ts
@@ -1,27 +1,27 @@
-/** Estimates whether a silent host comes back, from how long it has been silent. */
+/** Estimates whether an unreachable host returns, from how long nothing was heard of it. */
 
-/** Silences that end by themselves (pauses, lost packets, quick restarts) last about this long. */
+/** Mean duration of short outages: process pauses, lost packets, quick restarts. */
 const SHORT_OUTAGE_MS = 4_000;
-/** The share of silences that are short, as long as nothing else is known. */
+/** Prior probability that an outage is a short one. */
 const SHORT_SHARE = 0.7;
 
-/** What to expect of a silent host. */
-interface ReturnEstimate {
+/** Expected recovery of an unreachable host. */
+interface RecoveryEstimate {
   /** Probability that it returns soon. */
   readonly probability: number;
-  /** Milliseconds until then, if it does. */
+  /** Mean milliseconds until then, if it does. */
   readonly meanMs: number;
 }
 
 /**
- * Weighs a short outage against a lasting one: short ones end at a constant
- * rate, so each further second of silence speaks for a lasting one.
+ * Weighs a short outage against a lasting one. Short ones end at a constant rate, so
+ * each further second without a report makes a lasting one more likely.
  *
- * @param silentMs how long nothing was heard
+ * @param silentMs time since the last report
  * @example
- * computeReturn(2_000).probability; // about 0.59
+ * estimateRecovery(2_000).probability; // about 0.59
  */
-export function estimateRecovery(silentMs: number): ReturnEstimate {
+export function estimateRecovery(silentMs: number): RecoveryEstimate {
   const short = SHORT_SHARE * Math.exp(-silentMs / SHORT_OUTAGE_MS);
   const lasting = 1 - SHORT_SHARE;
   return {probability: short / (short + lasting), meanMs: SHORT_OUTAGE_MS};
