--- a/src/control/control_links.ts
+++ b/src/control/control_connections.ts
@@ -13,7 +13,7 @@
 const SILENT_MS = 1_500;
 
 /** Who the other control processes are. */
-interface ControlLinksOptions {
+interface ControlConnectionsOptions {
   readonly identity: Parameters<typeof Peer.create>[1];
   /** Address of each other control process by name. */
   readonly addresses: ReadonlyMap<string, string>;
@@ -29,21 +29,21 @@
   readonly onFailure: (from: string, error: Error) => void;
 }
 
-interface Link {
+interface Connection {
   readonly peer: Peer;
   heardAt: number;
 }
 
 /** Keeps one outgoing connection to every other control process. */
-export class ControlLinks {
-  private readonly links = new Map<string, Link>();
+export class ControlConnections {
+  private readonly connections = new Map<string, Connection>();
   private readonly addresses = new Map<string, string>();
   /** When a process last answered, by identity. */
   private readonly heardAt = new Map<string, number>();
   private readonly timer: NodeJS.Timeout;
   private isClosed = false;
 
-  private constructor(private readonly options: ControlLinksOptions) {
+  private constructor(private readonly options: ControlConnectionsOptions) {
     this.timer = setInterval(() => this.probe(), PROBE_EVERY_MS);
   }
 
@@ -53,8 +53,8 @@
    * @example
    * const links = ControlLinks.create({identity, addresses, clock, onMessage, onFailure});
    */
-  static create(options: ControlLinksOptions): ControlLinks {
-    const links = new ControlLinks(options);
+  static create(options: ControlConnectionsOptions): ControlConnections {
+    const links = new ControlConnections(options);
     for (const [name, address] of options.addresses) {
       links.add(name, address);
     }
@@ -71,7 +71,7 @@
 
   /** Names that answered with this identity are reachable. */
   listIdentities(): string[] {
-    return [...this.links.values()].map(link => link.peer.remote.id);
+    return [...this.connections.values()].map(link => link.peer.remote.id);
   }
 
   /** When the process with this identity last answered; undefined for never. */
@@ -81,7 +81,7 @@
 
   /** Sends to the process with this identity; dropped when it is not connected. */
   send(identity: string, message: Message): void {
-    const link = this.links.get(splitIdentity(identity).name);
+    const link = this.connections.get(splitIdentity(identity).name);
     if (link?.peer.remote.id === identity) {
       link.peer.send(message);
     }
@@ -90,7 +90,7 @@
   close(): void {
     this.isClosed = true;
     clearInterval(this.timer);
-    for (const link of this.links.values()) {
+    for (const link of this.connections.values()) {
       link.peer.close();
     }
   }
@@ -99,7 +99,7 @@
   private probe(): void {
     const now = this.options.clock.now();
     const identity = this.options.identity.id;
-    for (const {peer, heardAt} of this.links.values()) {
+    for (const {peer, heardAt} of this.connections.values()) {
       if (now - heardAt > SILENT_MS) {
         peer.close();
       } else {
@@ -123,7 +123,7 @@
       return;
     }
     const link = {peer, heardAt: clock.now()};
-    this.links.set(name, link);
+    this.connections.set(name, link);
     const reply = (message: Message) => peer.send(message);
     void peer.messages
       .observe(message => {
@@ -136,6 +136,6 @@
         peer.close();
       });
     await peer.closed;
-    this.links.delete(name);
+    this.connections.delete(name);
   }
 }
--- a/src/control/control_log.ts
+++ b/src/control/control_event_log.ts
@@ -16,15 +16,15 @@
 }
 
 /** Writes lines under the identity of one process. */
-export class ControlLog {
-  private readonly lines: ThrottledLines;
+export class ControlEventLog {
+  private readonly throttledLines: ThrottledLines;
 
   private constructor(
     private readonly identity: string,
     private readonly events: EventRing,
     clock: Clock,
   ) {
-    this.lines = ThrottledLines.create(events, clock);
+    this.throttledLines = ThrottledLines.create(events, clock);
   }
 
   /**
@@ -33,8 +33,12 @@
    * @example
    * const log = ControlLog.create('control-a/1f0c', events, clock);
    */
-  static create(identity: string, events: EventRing, clock: Clock): ControlLog {
-    return new ControlLog(identity, events, clock);
+  static create(
+    identity: string,
+    events: EventRing,
+    clock: Clock,
+  ): ControlEventLog {
+    return new ControlEventLog(identity, events, clock);
   }
 
   record(type: string, reason: string): void {
@@ -42,7 +46,7 @@
   }
 
   /** What the disk knows of before: without it a quorum that does not come together cannot be explained. */
-  recordRecovered({log, snapshots}: ControlDisk): void {
+  recordRecoveredState({log, snapshots}: ControlDisk): void {
     const {term, votedFor = '', commitIndex, entries} = log.recovered;
     this.events.record({
       type: 'state-recovered',
@@ -61,8 +65,8 @@
   }
 
   /** A call that the leader itself did not carry out looks to its caller as if this process did not lead. */
-  recordRefusal({ask, reason, voters, raft}: RefusedCall): void {
-    this.lines.record(`${ask} ${reason}`, {
+  recordRefusedCall({ask, reason, voters, raft}: RefusedCall): void {
+    this.throttledLines.record(`${ask} ${reason}`, {
       type: 'call-not-carried-out',
       subject: 'control',
       id: this.identity,
@@ -83,7 +87,7 @@
       return;
     }
     const {term, isPreVote, refusal = ''} = message;
-    this.lines.record(`vote ${from} ${refusal}`, {
+    this.throttledLines.record(`vote ${from} ${refusal}`, {
       type: 'vote-refused',
       subject: 'control',
       id: this.identity,
@@ -93,8 +97,8 @@
   }
 
   /** What a message led to here; its sender only sees its connection end. */
-  recordFailure(from: string, error: Error): void {
-    this.lines.record('message', {
+  recordMessageFailure(from: string, error: Error): void {
+    this.throttledLines.record('message', {
       type: 'message-failed',
       subject: 'control',
       id: this.identity,
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -16,8 +16,8 @@
 import {BackendRegistry} from './backend_registry';
 import {ChangeSignal} from './change_signal';
 import {ControlError} from './control_error';
-import {ControlLinks} from './control_links';
-import {ControlLog} from './control_log';
+import {ControlConnections} from './control_connections';
+import {ControlEventLog} from './control_event_log';
 import {ControlSettings} from './control_settings';
 import {createStatus} from './create_status';
 import {Fleet} from './fleet';
@@ -38,12 +38,12 @@
   /** Settles when the process must stop because its disk failed. */
   readonly failed: Promise<Error>;
   private fail: (error: Error) => void = () => undefined;
-  private readonly log: ControlLog;
+  private readonly log: ControlEventLog;
   private readonly fleet = Fleet.create();
   private readonly signal = ChangeSignal.create();
   private readonly incarnation = randomBytes(8).toString('hex');
   private server: FrameServer | undefined;
-  private links: ControlLinks | undefined;
+  private links: ControlConnections | undefined;
   private member: QuorumMember | undefined;
   private enginePlanner: EnginePlannerLoop | undefined;
   private readonly registry: BackendRegistry;
@@ -55,7 +55,7 @@
     private readonly disk: ControlDisk,
   ) {
     this.failed = new Promise(resolve => (this.fail = resolve));
-    this.log = ControlLog.create(disk.identity, this.events, systemClock);
+    this.log = ControlEventLog.create(disk.identity, this.events, systemClock);
     this.registry = BackendRegistry.create(
       settings.pools?.heartbeatMs,
       ({registration: {incarnation, address, sequence}, holder}) =>
@@ -101,7 +101,7 @@
   /** Addresses at which the leader may be found, the likeliest first. */
   listControlAddresses(): string[] {
     const leader = this.runtime?.raft.leader;
-    const voters = Object.keys(this.member?.keeper.listVoters() ?? {});
+    const voters = Object.keys(this.member?.manager.listVoters() ?? {});
     const seeds = this.settings.seeded?.seeds ?? [];
     const known = leader ? [splitIdentity(leader).name] : [];
     return [...new Set([...known, ...voters, ...seeds])];
@@ -109,12 +109,12 @@
 
   /** Takes other places to find control processes at, as the settings changed. */
   addSeeds(seeds: readonly string[]): void {
-    this.member?.keeper.addSeeds(seeds);
+    this.member?.manager.addSeeds(seeds);
   }
 
   /** True while this process may answer for the whole system. */
   get isLeading(): boolean {
-    return this.runtime?.canAnswer() ?? false;
+    return this.runtime?.canServe() ?? false;
   }
 
   /** Stops without waiting for anything but the disk. */
@@ -129,7 +129,7 @@
 
   private async start(): Promise<void> {
     const {settings, disk} = this;
-    this.log.recordRecovered(disk);
+    this.log.recordRecoveredState(disk);
     const cut = disk.log.recovered.cutBytes;
     if (cut > 0) {
       this.record(
@@ -144,7 +144,7 @@
       onConnection: connection =>
         void this.acceptPeer(connection).catch(() => undefined),
     });
-    this.links = ControlLinks.create({
+    this.links = ControlConnections.create({
       identity: this.identity,
       addresses: settings.seeded
         ? new Map(listOtherSeeds(settings).map(seed => [seed, seed]))
@@ -152,7 +152,7 @@
       clock: systemClock,
       security: settings.security,
       onMessage: (from, message, reply) => this.receive(from, message, reply),
-      onFailure: (from, error) => this.log.recordFailure(from, error),
+      onFailure: (from, error) => this.log.recordMessageFailure(from, error),
     });
     this.member = QuorumMember.create({
       settings,
@@ -194,7 +194,7 @@
     void peer.messages
       .observe(message => this.receive(peer.remote.id, message, reply))
       .catch((error: Error) => {
-        this.log.recordFailure(peer.remote.id, error);
+        this.log.recordMessageFailure(peer.remote.id, error);
         peer.close();
       });
   }
@@ -219,7 +219,7 @@
       ? this.listControlAddresses()
       : undefined;
     const refuse = () => reply({type: 'not-leader', call: ask.call, control});
-    if (!runtime?.canAnswer() || !handlers?.[ask.type]) {
+    if (!runtime?.canServe() || !handlers?.[ask.type]) {
       if (runtime?.raft.role === 'leader') {
         this.recordRefusal(
           ask.type,
@@ -232,7 +232,7 @@
     try {
       const answer = await handlers[ask.type](ask as never);
       // Between the question and the answer this process may have been frozen.
-      if (runtime.canAnswer()) {
+      if (runtime.canServe()) {
         reply(answer);
       } else {
         this.recordRefusal(
@@ -251,8 +251,8 @@
   }
 
   private recordRefusal(ask: string, reason: string): void {
-    const voters = Object.keys(this.member?.keeper.listVoters() ?? {});
-    this.log.recordRefusal({ask, reason, voters, raft: this.runtime?.raft});
+    const voters = Object.keys(this.member?.manager.listVoters() ?? {});
+    this.log.recordRefusedCall({ask, reason, voters, raft: this.runtime?.raft});
   }
 
   /** Sets up what the leader does, beside the agreement. */
--- a/src/control/form_quorum.ts
+++ b/src/control/decide_initial_voters.ts
@@ -23,7 +23,7 @@
  * @example
  * const voters = formQuorum('a/1', ['b', 'c'], answers);
  */
-export function formQuorum(
+export function decideInitialVoters(
   identity: string,
   otherNames: readonly string[] | undefined,
   answers: ReadonlyMap<string, Answer>,
--- a/src/control/engine_planner_loop.ts
+++ b/src/control/engine_planner_loop.ts
@@ -91,7 +91,7 @@
     this.release.refresh(runtime.state.engines.list(), now);
     const listenMs = duties.heartbeatMs * LISTEN_INTERVALS;
     const isListening = now - runtime.leadingSince < listenMs;
-    if (!runtime.canAnswer() || this.isCommitting || isListening) {
+    if (!runtime.canServe() || this.isCommitting || isListening) {
       return;
     }
     if (this.plannedTerm !== runtime.raft.term) {
--- a/src/control/limit_desk.ts
+++ b/src/control/limit_desk.ts
@@ -2,7 +2,7 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {LimitLines} from '../common/limit_lines';
-import {NamedLimits} from '../coordination/limits/named_limits';
+import {AdvertisedLimits} from '../coordination/limits/advertised_limits';
 import {PermitIssuer} from '../coordination/limits/permit_issuer';
 import {permitTiming} from '../coordination/limits/permit_timing';
 import {ControlMessage} from '../protocol/control_message';
@@ -34,7 +34,7 @@
 
 /** Never replicated: gateways tell a new leader what they hold. */
 export class LimitDesk {
-  private readonly limits = NamedLimits.create();
+  private readonly limits = AdvertisedLimits.create();
   private readonly issuers = new Map<string, PermitIssuer>();
   /** Backend servers whose limit changed, oldest first. */
   private changes: string[] = [];
@@ -96,7 +96,7 @@
       }
       const now = clock.now();
       const issuer = this.findIssuer(incarnation, known.perSecond, now);
-      const {isGranted, ...pace} = issuer.ask(gatewayId, now);
+      const {isGranted, ...pace} = issuer.acquire(gatewayId, now);
       const kind = isGranted ? 'granted' : 'later';
       return {type: 'permit-answer', call, verdict: {kind, ...pace}};
     },
@@ -109,8 +109,8 @@
     const before = this.limits.find(incarnation)?.perSecond;
     const isNews =
       perSecond === null
-        ? this.limits.end(incarnation, at)
-        : this.limits.add(incarnation, perSecond, at);
+        ? this.limits.recordNoLimit(incarnation, at)
+        : this.limits.recordLimit(incarnation, perSecond, at);
     if (!isNews) {
       return;
     }
--- a/src/control/pending_proposals.ts
+++ b/src/control/pending_proposals.ts
@@ -4,7 +4,7 @@
 import {ControlError} from './control_error';
 
 /** Whoever waits for one command. */
-interface Waiting {
+interface PendingProposal {
   readonly command: ControlCommand;
   readonly resolve: (result: CommandResult) => void;
   readonly reject: (error: ControlError) => void;
@@ -12,9 +12,12 @@
 
 /** Settles each command exactly once. */
 export class PendingProposals {
-  private queued: Waiting[] = [];
+  private queued: PendingProposal[] = [];
   /** By place in the log, with the term that it was proposed in. */
-  private readonly proposed = new Map<number, Waiting & {term: number}>();
+  private readonly proposed = new Map<
+    number,
+    PendingProposal & {term: number}
+  >();
 
   private constructor() {}
 
@@ -41,7 +44,7 @@
   }
 
   /** Takes all queued commands, which go into the log from `firstIndex` on. */
-  take(firstIndex: number, term: number): ControlCommand[] {
+  takeQueued(firstIndex: number, term: number): ControlCommand[] {
     const taken = this.queued;
     this.queued = [];
     taken.forEach((waiting, offset) => {
@@ -62,7 +65,7 @@
   }
 
   /** Gives up everything that waits. Some of it may be committed all the same. */
-  reject(reason: string): void {
+  rejectAll(reason: string): void {
     const error = new ControlError(reason);
     const waiting = [...this.queued, ...this.proposed.values()];
     this.queued = [];
--- a/src/control/planner_loop.ts
+++ b/src/control/planner_loop.ts
@@ -49,7 +49,7 @@
 
   private async run(): Promise<void> {
     const {runtime, clock} = this.options;
-    if (!runtime.canAnswer() || this.isCommitting) {
+    if (!runtime.canServe() || this.isCommitting) {
       return;
     }
     const now = clock.now();
--- a/src/control/quorum_keeper.ts
+++ b/src/control/quorum_manager.ts
@@ -9,9 +9,9 @@
 import {MessageOf} from '../protocol/message_of';
 import {splitIdentity} from '../protocol/split_identity';
 import {ControlDisk} from '../state/control_disk';
-import {ControlLinks} from './control_links';
+import {ControlConnections} from './control_connections';
 import {ControlSettings} from './control_settings';
-import {formQuorum} from './form_quorum';
+import {decideInitialVoters} from './decide_initial_voters';
 import {RaftRuntime} from './raft_runtime';
 
 const FORMATION_EVERY_MS = 100;
@@ -24,11 +24,11 @@
 type Answer = MessageOf<FormationMessage, 'formation-answer'>;
 
 /** What the keeper works with. */
-interface QuorumKeeperOptions {
+interface QuorumManagerOptions {
   readonly settings: ControlSettings;
   readonly disk: ControlDisk;
   readonly links: Pick<
-    ControlLinks,
+    ControlConnections,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
   >;
   readonly clock: Clock;
@@ -41,16 +41,16 @@
 }
 
 /** Forms, joins and changes the quorum. */
-export class QuorumKeeper {
-  private readonly answers = new Map<string, Answer>();
+export class QuorumManager {
+  private readonly formationResponses = new Map<string, Answer>();
   /** When a process last asked, by identity. */
-  private readonly askedAt = new Map<string, number>();
+  private readonly lastRequestAt = new Map<string, number>();
   private readonly timers: Timers;
   private readonly stopTicking: Cancel;
   private readonly startedAt: number;
   private isClosed = false;
 
-  private constructor(private readonly options: QuorumKeeperOptions) {
+  private constructor(private readonly options: QuorumManagerOptions) {
     this.startedAt = options.clock.now();
     this.timers = options.timers ?? systemTimers;
     this.stopTicking = this.timers.repeat(ADMIT_EVERY_MS, () => this.tick());
@@ -62,8 +62,8 @@
    * @example
    * const keeper = QuorumKeeper.create({settings, disk, links, clock, findRuntime, onQuorum});
    */
-  static create(options: QuorumKeeperOptions): QuorumKeeper {
-    return new QuorumKeeper(options);
+  static create(options: QuorumManagerOptions): QuorumManager {
+    return new QuorumManager(options);
   }
 
   /** Only committed voters: a change that is merely proposed may still fail. */
@@ -73,7 +73,7 @@
     if (!runtime) {
       return disk.snapshots.current?.voters ?? null;
     }
-    return Object.fromEntries(runtime.raft.listKnownVoters());
+    return Object.fromEntries(runtime.raft.listCommittedVoters());
   }
 
   /**
@@ -82,34 +82,38 @@
    * two seeds were lost.
    */
   connectVoters(): void {
-    const others = this.options.findRuntime()?.raft.others ?? [];
-    this.connect(others.map(identity => splitIdentity(identity).name));
+    const others = this.options.findRuntime()?.raft.peers ?? [];
+    this.addConnections(others.map(identity => splitIdentity(identity).name));
   }
 
   /** Answers who asks for the quorum; in a growing quorum it may become a voter. */
-  handleAsk({identity}: MessageOf<FormationMessage, 'formation-ask'>): Answer {
+  handleFormationRequest({
+    identity,
+  }: MessageOf<FormationMessage, 'formation-ask'>): Answer {
     const {clock, disk} = this.options;
-    this.askedAt.set(identity, clock.now());
-    this.connect([splitIdentity(identity).name]);
+    this.lastRequestAt.set(identity, clock.now());
+    this.addConnections([splitIdentity(identity).name]);
     const voters = this.listVoters();
     return {type: 'formation-answer', identity: disk.identity, voters};
   }
 
   /** Takes other places to ask, as the settings changed. */
   addSeeds(seeds: readonly string[]): void {
-    this.connect(seeds);
+    this.addConnections(seeds);
   }
 
   /** Takes an answer about the quorum. */
-  handleAnswer(from: string, answer: Answer): void {
-    this.answers.set(splitIdentity(from).name, answer);
-    this.connect(Object.keys(answer.voters ?? {}));
+  handleFormationResponse(from: string, answer: Answer): void {
+    this.formationResponses.set(splitIdentity(from).name, answer);
+    this.addConnections(Object.keys(answer.voters ?? {}));
   }
 
   /** One try after the other: two that overlap would write the same file. */
   async runFormation(): Promise<void> {
     while (!this.options.findRuntime() && !this.isClosed) {
-      await this.formOrJoin().catch((error: Error) => this.handleFull(error));
+      await this.formOrJoin().catch((error: Error) =>
+        this.handleDiskFull(error),
+      );
       await waitFor(this.timers, FORMATION_EVERY_MS);
     }
   }
@@ -120,7 +124,7 @@
   }
 
   /** Without room for its first snapshot a process tries again like one that runs: a quorum does without it. */
-  private handleFull(error: Error): void {
+  private handleDiskFull(error: Error): void {
     if (error.name !== 'DiskFull') {
       throw error;
     }
@@ -132,7 +136,11 @@
     for (const identity of links.listIdentities()) {
       links.send(identity, {type: 'formation-ask', identity: disk.identity});
     }
-    const voters = formQuorum(disk.identity, this.listFounders(), this.answers);
+    const voters = decideInitialVoters(
+      disk.identity,
+      this.listFoundingPeers(),
+      this.formationResponses,
+    );
     if (!voters) {
       return;
     }
@@ -148,7 +156,7 @@
   }
 
   /** The others that form the first quorum with this process; undefined for one that may only join. */
-  private listFounders(): string[] | undefined {
+  private listFoundingPeers(): string[] | undefined {
     const {peers, seeded, name} = this.options.settings;
     if (!seeded) {
       return [...peers.keys()];
@@ -158,7 +166,7 @@
   }
 
   /** In a seeded quorum a process is named by its address. */
-  private connect(names: readonly string[]): void {
+  private addConnections(names: readonly string[]): void {
     const {settings, links} = this.options;
     if (settings.seeded) {
       names
@@ -175,7 +183,7 @@
   private async changeVoters(): Promise<void> {
     const {links, settings, findRuntime, clock} = this.options;
     const runtime = findRuntime();
-    if (!runtime?.canAnswer() || runtime.raft.isChangingVoters) {
+    if (!runtime?.canServe() || runtime.raft.isChangingVoters) {
       return;
     }
     const now = clock.now();
@@ -185,13 +193,13 @@
     const candidates = reachable.filter(
       identity =>
         !settings.seeded ||
-        now - (this.askedAt.get(identity) ?? -Infinity) < ASKED_LATELY_MS,
+        now - (this.lastRequestAt.get(identity) ?? -Infinity) < ASKED_LATELY_MS,
     );
     const change = decideVoterChange({
       voters,
       candidates,
       target: settings.seeded?.voters ?? voters.size,
-      isSilent: identity => this.isSilent(identity, reachable, now),
+      isUnresponsive: identity => this.isUnresponsive(identity, reachable, now),
     });
     if (change) {
       const command = {type: 'set-voter' as const, time: Date.now(), ...change};
@@ -200,7 +208,7 @@
   }
 
   /** Another disk that answers under a voter's name shows that the old one is gone. */
-  private isSilent(
+  private isUnresponsive(
     identity: string,
     reachable: readonly string[],
     now: number,
--- a/src/control/quorum_member.ts
+++ b/src/control/quorum_member.ts
@@ -5,9 +5,9 @@
 import {Message} from '../protocol/message';
 import {RaftMessage} from '../protocol/raft_message';
 import {ControlDisk} from '../state/control_disk';
-import {ControlLinks} from './control_links';
+import {ControlConnections} from './control_connections';
 import {ControlSettings} from './control_settings';
-import {QuorumKeeper} from './quorum_keeper';
+import {QuorumManager} from './quorum_manager';
 import {RaftRuntime} from './raft_runtime';
 
 type RaftRuntimeOptions = Parameters<typeof RaftRuntime.create>[0];
@@ -20,7 +20,7 @@
   readonly settings: ControlSettings;
   readonly disk: ControlDisk;
   readonly links: Pick<
-    ControlLinks,
+    ControlConnections,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
   >;
   readonly clock: Clock;
@@ -34,12 +34,12 @@
 
 /** A running member. */
 export class QuorumMember {
-  readonly keeper: QuorumKeeper;
+  readonly manager: QuorumManager;
   private raftRuntime: RaftRuntime | undefined;
 
   private constructor(private readonly options: QuorumMemberOptions) {
     const {settings, disk, links, clock, timers} = options;
-    this.keeper = QuorumKeeper.create({
+    this.manager = QuorumManager.create({
       settings,
       disk,
       links,
@@ -76,7 +76,7 @@
     if (disk.snapshots.current) {
       this.startRaft();
     } else {
-      void this.keeper.runFormation().catch(onFailure);
+      void this.manager.runFormation().catch(onFailure);
     }
   }
 
@@ -87,9 +87,9 @@
     reply: (message: Message) => void,
   ): boolean {
     if (message.type === 'formation-ask') {
-      reply(this.keeper.handleAsk(message));
+      reply(this.manager.handleFormationRequest(message));
     } else if (message.type === 'formation-answer') {
-      this.keeper.handleAnswer(from, message);
+      this.manager.handleFormationResponse(from, message);
     } else if ('term' in message && !('call' in message)) {
       this.raftRuntime?.receive(from, message as RaftMessage);
     } else {
@@ -100,7 +100,7 @@
 
   /** Stops; resolves when the disk is idle. */
   async close(): Promise<void> {
-    this.keeper.close();
+    this.manager.close();
     await this.raftRuntime?.close();
   }
 
@@ -122,7 +122,7 @@
       onChange,
       onDiskFull,
     });
-    this.keeper.connectVoters();
+    this.manager.connectVoters();
     onRuntime(this.raftRuntime);
   }
 }
--- a/src/control/raft_runtime.ts
+++ b/src/control/raft_runtime.ts
@@ -34,7 +34,7 @@
   readonly persist?: RaftEffects['persist'];
   /** Known to be committed when the job was made. */
   readonly commitIndex: number;
-  readonly install?: RaftEffects['install'];
+  readonly snapshotToInstall?: RaftEffects['snapshotToInstall'];
   readonly messages: Outgoing;
 }
 
@@ -68,19 +68,19 @@
   /** Changes of role, as they happen. */
   readonly roleChanges = this.changes.stream;
   private readonly node: RaftNode;
-  private tables: ClusterState;
+  private clusterState: ClusterState;
   private readonly diskJobs: DiskJob[] = [];
   private readonly snapshotJobs: Array<
     NonNullable<ControlDisk['snapshots']['current']>
   > = [];
   /** Index of the newest snapshot that is taken or on its way to disk. */
-  private snapshotPlanned = 0;
+  private snapshotPlannedAt = 0;
   private isDiskBusy = false;
   private isInstalling = false;
-  private postponed: RaftEvent[] = [];
-  private readonly pending = PendingProposals.create();
+  private deferredEvents: RaftEvent[] = [];
+  private readonly pendingProposals = PendingProposals.create();
   private appliedTerm = 0;
-  private ledSince = 0;
+  private leaderSince = 0;
   private readonly timers: Timers;
   private readonly stopTicking: Cancel;
   private isClosed = false;
@@ -91,9 +91,9 @@
     if (!snapshot) {
       throw new ControlError('the data folder knows no quorum yet');
     }
-    this.tables = ClusterState.create(snapshot.state);
+    this.clusterState = ClusterState.create(snapshot.state);
     const {term, votedFor, entries, commitIndex} = disk.log.recovered;
-    const start = createLogStart(snapshot);
+    const start = createPosition(snapshot);
     const kept = entries.filter(entry => entry.index > snapshot.index);
     this.node = RaftNode.create({
       identity: disk.identity,
@@ -101,7 +101,7 @@
       term,
       votedFor,
       commitIndex: snapshot.index,
-      knownCommitted: commitIndex,
+      knownCommitIndex: commitIndex,
       timing,
       random,
       readSnapshot: () => disk.snapshots.current?.state ?? new Uint8Array(),
@@ -127,7 +127,7 @@
 
   /** The tables as of the newest applied entry. */
   get state(): ClusterState {
-    return this.tables;
+    return this.clusterState;
   }
 
   /** The agreement itself, for reading only. */
@@ -136,11 +136,11 @@
     | 'role'
     | 'term'
     | 'leader'
-    | 'others'
+    | 'peers'
     | 'commitIndex'
     | 'findVoter'
     | 'listVotersAt'
-    | 'listKnownVoters'
+    | 'listCommittedVoters'
     | 'isCaughtUp'
     | 'isChangingVoters'
   > {
@@ -152,7 +152,7 @@
    * term, and a quorum confirmed it so lately that no other can lead. Ask right
    * before an answer leaves.
    */
-  canAnswer(): boolean {
+  canServe(): boolean {
     const {clock, leaseClock} = this.options;
     // A leader that was suspended would hold a lease by a round from before.
     const trustedSince = leaseClock?.pausedAt;
@@ -164,7 +164,7 @@
 
   /** When this process last took the lead, on its monotonic clock. */
   get leadingSince(): number {
-    return this.ledSince;
+    return this.leaderSince;
   }
 
   /** Hands over a message from another node. */
@@ -179,8 +179,8 @@
    * @throws ControlError when this process does not lead or loses the lead
    */
   propose(command: ControlCommand): Promise<CommandResult> {
-    const settled = this.pending.add(command);
-    if (this.pending.queuedCount === 1) {
+    const settled = this.pendingProposals.add(command);
+    if (this.pendingProposals.queuedCount === 1) {
       this.timers.defer(() => this.flushProposals());
     }
     return settled;
@@ -190,22 +190,22 @@
   async close(): Promise<void> {
     this.isClosed = true;
     this.stopTicking();
-    this.pending.reject('control is stopping');
+    this.pendingProposals.rejectAll('control is stopping');
     while (this.isDiskBusy) {
       await waitFor(this.timers, 1);
     }
   }
 
   private flushProposals(): void {
-    if (this.pending.queuedCount === 0) {
+    if (this.pendingProposals.queuedCount === 0) {
       return;
     }
     if (this.node.role !== 'leader' || this.isClosed) {
-      this.pending.reject('this control process does not lead');
+      this.pendingProposals.rejectAll('this control process does not lead');
       return;
     }
     const {lastIndex, term} = this.node;
-    const commands = this.pending.take(lastIndex + 1, term);
+    const commands = this.pendingProposals.takeQueued(lastIndex + 1, term);
     this.step({type: 'propose', commands});
   }
 
@@ -214,7 +214,7 @@
       return;
     }
     if (this.isInstalling) {
-      this.postponed.push(event);
+      this.deferredEvents.push(event);
       return;
     }
     this.perform(this.node.step(event, this.options.clock.now()));
@@ -222,53 +222,56 @@
 
   private perform(effects: RaftEffects): void {
     this.sendAll(effects.messages);
-    const {persist, install, messagesAfterPersist} = effects;
-    if (persist || install || messagesAfterPersist.length > 0) {
-      this.isInstalling ||= install !== undefined;
+    const {persist, snapshotToInstall, messagesAfterPersist} = effects;
+    if (persist || snapshotToInstall || messagesAfterPersist.length > 0) {
+      this.isInstalling ||= snapshotToInstall !== undefined;
       this.diskJobs.push({
         persist,
         commitIndex: this.node.commitIndex,
-        install,
+        snapshotToInstall,
         messages: messagesAfterPersist,
       });
       void this.drainDisk();
     }
-    effects.committed.forEach(entry => this.apply(entry));
-    if (effects.change) {
-      this.handleChange(effects.change);
+    effects.committedEntries.forEach(entry => this.apply(entry));
+    if (effects.roleChange) {
+      this.handleRoleChange(effects.roleChange);
     }
   }
 
-  private apply(entry: RaftEffects['committed'][number]): void {
-    const before = this.tables.changeCount;
-    const result = this.tables.apply(entry);
-    if (this.tables.changeCount !== before) {
+  private apply(entry: RaftEffects['committedEntries'][number]): void {
+    const before = this.clusterState.changeCount;
+    const result = this.clusterState.apply(entry);
+    if (this.clusterState.changeCount !== before) {
       this.options.onChange();
     }
     if (entry.command.type === 'start-term') {
       this.appliedTerm = entry.term;
     }
-    this.pending.settle(entry.index, entry.term, result);
+    this.pendingProposals.settle(entry.index, entry.term, result);
     const every = this.options.snapshotEvery ?? DEFAULT_SNAPSHOT_EVERY;
     const snapshotIndex = this.options.disk.snapshots.current?.index ?? 0;
-    if (entry.index - Math.max(snapshotIndex, this.snapshotPlanned) >= every) {
+    if (
+      entry.index - Math.max(snapshotIndex, this.snapshotPlannedAt) >=
+      every
+    ) {
       this.planSnapshot(entry.index, entry.term);
     }
   }
 
   private planSnapshot(index: number, term: number): void {
-    this.snapshotPlanned = index;
-    const state = this.tables.save();
+    this.snapshotPlannedAt = index;
+    const state = this.clusterState.save();
     const voters = Object.fromEntries(this.node.listVotersAt(index));
     this.snapshotJobs.push({index, term, voters, state});
     void this.drainDisk();
   }
 
-  private handleChange(change: {role: string; reason: string}): void {
+  private handleRoleChange(change: {role: string; reason: string}): void {
     if (change.role === 'leader') {
-      this.ledSince = this.options.clock.now();
+      this.leaderSince = this.options.clock.now();
     } else {
-      this.pending.reject('this control process lost the lead');
+      this.pendingProposals.rejectAll('this control process lost the lead');
     }
     this.changes.push(change);
     this.options.onChange();
@@ -304,8 +307,8 @@
     }
     const last = jobs.flatMap(job => job.persist?.entries ?? []).at(-1);
     for (const job of jobs) {
-      if (job.install) {
-        await this.install(job.install);
+      if (job.snapshotToInstall) {
+        await this.installSnapshot(job.snapshotToInstall);
       }
       this.sendAll(job.messages);
     }
@@ -340,20 +343,20 @@
     }
   }
 
-  private async install(
-    snapshot: NonNullable<RaftEffects['install']>,
+  private async installSnapshot(
+    snapshot: NonNullable<RaftEffects['snapshotToInstall']>,
   ): Promise<void> {
     const {disk} = this.options;
     const {index, term, voters, state} = snapshot;
     await this.retryWhileFull(() =>
       disk.snapshots.save({index, term, voters, state}),
     );
-    this.node.finishInstall(createLogStart({index, term, voters}));
-    this.tables = ClusterState.create(state);
+    this.node.finishSnapshotInstall(createPosition({index, term, voters}));
+    this.clusterState = ClusterState.create(state);
     await this.retryWhileFull(() => disk.log.replaceAll(this.listRecords()));
     this.isInstalling = false;
-    const postponed = this.postponed;
-    this.postponed = [];
+    const postponed = this.deferredEvents;
+    this.deferredEvents = [];
     postponed.forEach(event => this.step(event));
   }
 
@@ -372,7 +375,7 @@
   }
 }
 
-function createLogStart(snapshot: {
+function createPosition(snapshot: {
   index: number;
   term: number;
   voters: Record<string, string>;
--- a/src/coordination/agreement/decide_voter_change.ts
+++ b/src/coordination/agreement/decide_voter_change.ts
@@ -1,5 +1,5 @@
 /** A process that asks to vote, and what is known of the present voters. */
-interface VoterSituation {
+interface VoterChangeInput {
   /** Committed voters: name to identity. */
   readonly voters: ReadonlyMap<string, string>;
   /** Identities of processes that want to vote and can be reached. */
@@ -7,7 +7,7 @@
   /** Voters that the quorum should have. */
   readonly target: number;
   /** True for the identity of a voter that has been silent for long. */
-  readonly isSilent: (identity: string) => boolean;
+  readonly isUnresponsive: (identity: string) => boolean;
 }
 
 /** One step: at most one voter comes and one goes. */
@@ -25,9 +25,9 @@
  * const change = decideVoterChange({voters, candidates, target: 5, isSilent});
  */
 export function decideVoterChange(
-  situation: VoterSituation,
+  situation: VoterChangeInput,
 ): VoterChange | undefined {
-  const {voters, target, isSilent} = situation;
+  const {voters, target, isUnresponsive: isSilent} = situation;
   const candidates = situation.candidates
     .map(identity => ({name: identity.split('/')[0], identity}))
     .filter(({name, identity}) => voters.get(name) !== identity);
--- a/src/coordination/agreement/compute_entry_bytes.ts
+++ b/src/coordination/agreement/estimate_entry_bytes.ts
@@ -11,7 +11,7 @@
  * @example
  * const bytes = computeEntryBytes(entry);
  */
-export function computeEntryBytes({command}: LogEntry): number {
+export function estimateEntryBytes({command}: LogEntry): number {
   if (command.type === 'accept-channel-bundle') {
     return SMALL_ENTRY_BYTES + command.bundle.source.length * CHANNEL_FACTOR;
   }
--- a/src/coordination/agreement/raft_effects.ts
+++ b/src/coordination/agreement/raft_effects.ts
@@ -26,14 +26,14 @@
   /** Must not leave before `persist` is on disk. */
   readonly messagesAfterPersist: readonly Outgoing[];
   /** Entries that are committed now, in order. */
-  readonly committed: readonly LogEntry[];
+  readonly committedEntries: readonly LogEntry[];
   /** A snapshot from the leader, to be installed before anything else. */
-  readonly install?: {
+  readonly snapshotToInstall?: {
     readonly index: number;
     readonly term: number;
     readonly voters: Record<string, string>;
     readonly state: Uint8Array;
   };
   /** Set when the role or the known leader changed. */
-  readonly change?: {readonly role: string; readonly reason: string};
+  readonly roleChange?: {readonly role: string; readonly reason: string};
 }
--- a/src/coordination/agreement/raft_election.ts
+++ b/src/coordination/agreement/raft_election.ts
@@ -4,8 +4,8 @@
 import {hasQuorum} from './has_quorum';
 import {RaftState} from './raft_state';
 
-type VoteAsk = MessageOf<RaftMessage, 'vote-ask'>;
-type VoteAnswer = MessageOf<RaftMessage, 'vote-answer'>;
+type VoteRequest = MessageOf<RaftMessage, 'vote-ask'>;
+type VoteResponse = MessageOf<RaftMessage, 'vote-answer'>;
 
 /** Asks for votes, gives them and counts them. */
 export class RaftElection {
@@ -29,19 +29,19 @@
 
   /** Stands for election when the leader was silent for too long. */
   tick(): void {
-    if (this.state.now >= this.state.electionAt) {
-      this.start(true);
+    if (this.state.now >= this.state.electionDeadline) {
+      this.startElection(true);
     }
   }
 
   /** Answers a candidate. */
-  handleAsk(from: string, ask: VoteAsk): void {
+  handleVoteRequest(from: string, ask: VoteRequest): void {
     const {state} = this;
-    const refusal = this.findRefusal(from, ask);
+    const refusal = this.explainRefusal(from, ask);
     const isGranted = refusal === undefined;
     if (isGranted && !ask.isPreVote) {
       state.setHardState(state.term, from);
-      state.electionAt = state.computeElectionTime();
+      state.electionDeadline = state.computeElectionDeadline();
     }
     const term = ask.isPreVote && isGranted ? ask.term : state.term;
     state.sendAfterPersist(from, {
@@ -59,12 +59,12 @@
    * disks of five left no leader in 59 s. A leader that is heard keeps out those
    * that were removed.
    */
-  private findRefusal(from: string, ask: VoteAsk): string | undefined {
+  private explainRefusal(from: string, ask: VoteRequest): string | undefined {
     const {state} = this;
-    if (!this.isFreeFor(from, ask)) {
+    if (!this.canVoteFor(from, ask)) {
       return `term ${state.term}, voted for ${state.votedFor ?? 'nobody'}`;
     }
-    if (!this.isUpToDate(ask)) {
+    if (!this.hasUpToDateLog(ask)) {
       const {lastIndex, lastTerm} = state.log;
       return `the log here goes on to ${lastIndex} of term ${lastTerm}`;
     }
@@ -72,7 +72,7 @@
   }
 
   /** Counts an answer, if it belongs to the election under way. */
-  handleAnswer(from: string, answer: VoteAnswer): void {
+  handleVoteResponse(from: string, answer: VoteResponse): void {
     const {state} = this;
     if (answer.isPreVote && !answer.isGranted && answer.term > state.term) {
       state.becomeFollower(answer.term, undefined, `saw term ${answer.term}`);
@@ -86,13 +86,13 @@
       answer.isGranted
     ) {
       this.grantedBy.add(from);
-      this.count();
+      this.countVotes();
     }
   }
 
-  private start(isPreVote: boolean): void {
+  private startElection(isPreVote: boolean): void {
     const {state} = this;
-    state.electionAt = state.computeElectionTime();
+    state.electionDeadline = state.computeElectionDeadline();
     if (!state.isVoter) {
       return;
     }
@@ -112,26 +112,26 @@
       lastTerm: state.log.lastTerm,
       isPreVote,
     };
-    for (const to of state.others) {
+    for (const to of state.peers) {
       state.sendAfterPersist(to, ask);
     }
-    this.count();
+    this.countVotes();
   }
 
-  private count(): void {
+  private countVotes(): void {
     if (
       !hasQuorum(this.state.voterSets, identity => this.grantedBy.has(identity))
     ) {
       return;
     }
     if (this.state.role === 'pre-candidate') {
-      this.start(false);
+      this.startElection(false);
     } else {
       this.onElected();
     }
   }
 
-  private isUpToDate(ask: VoteAsk): boolean {
+  private hasUpToDateLog(ask: VoteRequest): boolean {
     const {lastTerm, lastIndex} = this.state.log;
     const isSameTerm = ask.lastTerm === lastTerm;
     return (
@@ -139,7 +139,7 @@
     );
   }
 
-  private isFreeFor(from: string, ask: VoteAsk): boolean {
+  private canVoteFor(from: string, ask: VoteRequest): boolean {
     const {state} = this;
     if (ask.isPreVote) {
       return ask.term > state.term;
--- a/src/coordination/agreement/raft_log.ts
+++ b/src/coordination/agreement/raft_log.ts
@@ -6,7 +6,7 @@
 import {VoterSet} from './voter_set';
 
 /** Where the log starts: everything up to `index` lies in a snapshot. */
-interface LogStart {
+interface SnapshotPosition {
   readonly index: number;
   readonly term: number;
   readonly voters: VoterSet;
@@ -19,10 +19,10 @@
   /** The few entries that change voters, kept apart: they are asked for at every step. */
   private voterEntries: VoterEntry[] = [];
   /** Place of the newest entry that settles changes of voters; 0 for none. */
-  private settledAt = 0;
+  private lastSettleIndex = 0;
 
   private constructor(
-    private start: LogStart,
+    private base: SnapshotPosition,
     private entries: LogEntry[],
   ) {}
 
@@ -33,33 +33,36 @@
    * @example
    * const log = RaftLog.create({index: 0, term: 0, voters}, []);
    */
-  static create(start: LogStart, entries: readonly LogEntry[]): RaftLog {
+  static create(
+    start: SnapshotPosition,
+    entries: readonly LogEntry[],
+  ): RaftLog {
     const log = new RaftLog(start, []);
     log.append(entries);
     return log;
   }
 
   get firstIndex(): number {
-    return this.start.index + 1;
+    return this.base.index + 1;
   }
 
   get lastIndex(): number {
-    return this.start.index + this.entries.length;
+    return this.base.index + this.entries.length;
   }
 
   get lastTerm(): number {
-    return this.entries.at(-1)?.term ?? this.start.term;
+    return this.entries.at(-1)?.term ?? this.base.term;
   }
 
   /** The place of the snapshot that the log follows. */
-  get snapshot(): LogStart {
-    return this.start;
+  get snapshot(): SnapshotPosition {
+    return this.base;
   }
 
   /** The term of an entry; undefined when it is unknown here. */
   getTerm(index: number): number | undefined {
-    if (index === this.start.index) {
-      return this.start.term;
+    if (index === this.base.index) {
+      return this.base.term;
     }
     return this.entries[index - this.firstIndex]?.term;
   }
@@ -88,7 +91,7 @@
       if (isVoterEntry(entry)) {
         this.voterEntries.push(entry);
       } else if (entry.command.type === 'settle-voters') {
-        this.settledAt = entry.index;
+        this.lastSettleIndex = entry.index;
       }
     }
   }
@@ -96,44 +99,44 @@
   /** Drops the entry at `index` and all after it. */
   truncate(index: number): void {
     this.entries.length = Math.max(0, index - this.firstIndex);
-    this.indexVoters();
+    this.indexVoterEntries();
   }
 
   /** Forgets the entries up to `index`, which a snapshot now holds. */
   compact(index: number): void {
     const term = this.getTerm(index);
-    if (term === undefined || index <= this.start.index) {
+    if (term === undefined || index <= this.base.index) {
       return;
     }
     const voters = this.findVotersAt(index);
-    this.entries = this.entries.slice(index - this.start.index);
-    this.start = {index, term, voters};
-    this.indexVoters();
+    this.entries = this.entries.slice(index - this.base.index);
+    this.base = {index, term, voters};
+    this.indexVoterEntries();
   }
 
   /** Starts anew behind a snapshot that came from the leader. */
-  reset(start: LogStart): void {
-    this.start = start;
+  reset(start: SnapshotPosition): void {
+    this.base = start;
     this.entries = [];
     this.voterEntries = [];
-    this.settledAt = 0;
+    this.lastSettleIndex = 0;
   }
 
   /**
    * The voter sets in force: the committed one, then those of entries that are
    * not committed yet. What an entry settles is committed, whether it is itself or not.
    */
-  listVoterSets(commitIndex: number): VoterSet[] {
-    return this.computeSets(Math.max(commitIndex, this.settledAt));
+  listActiveVoterSets(commitIndex: number): VoterSet[] {
+    return this.computeVoterSets(Math.max(commitIndex, this.lastSettleIndex));
   }
 
   /** The committed voters as of an entry, whatever was settled since. */
   findVotersAt(index: number): VoterSet {
-    return this.computeSets(index)[0];
+    return this.computeVoterSets(index)[0];
   }
 
-  private computeSets(committed: number): VoterSet[] {
-    const sets: VoterSet[] = [this.start.voters];
+  private computeVoterSets(committed: number): VoterSet[] {
+    const sets: VoterSet[] = [this.base.voters];
     for (const {index, command} of this.voterEntries) {
       const voters = new Map(sets[sets.length - 1]);
       if (command.replaces !== undefined) {
@@ -149,26 +152,26 @@
   }
 
   /** The newest change of voters that no entry settles; undefined when all are settled. */
-  findUnsettled(): number | undefined {
+  findUnsettledVoterChange(): number | undefined {
     const index = this.voterEntries.at(-1)?.index ?? 0;
-    return index > this.settledAt ? index : undefined;
+    return index > this.lastSettleIndex ? index : undefined;
   }
 
   /** True when a committed entry settles every change of voters: a majority has it on disk. */
-  isSettled(commitIndex: number): boolean {
+  isVoterChangeSettled(commitIndex: number): boolean {
     const isChanging = this.voterEntries.length > 0;
     return (
-      this.findUnsettled() === undefined &&
-      (!isChanging || this.settledAt <= commitIndex)
+      this.findUnsettledVoterChange() === undefined &&
+      (!isChanging || this.lastSettleIndex <= commitIndex)
     );
   }
 
-  private indexVoters(): void {
+  private indexVoterEntries(): void {
     this.voterEntries = this.entries.filter(isVoterEntry);
     const settling = this.entries.filter(
       ({command}) => command.type === 'settle-voters',
     );
-    this.settledAt = settling.at(-1)?.index ?? 0;
+    this.lastSettleIndex = settling.at(-1)?.index ?? 0;
   }
 }
 
--- a/src/coordination/agreement/raft_node.ts
+++ b/src/coordination/agreement/raft_node.ts
@@ -71,8 +71,8 @@
   }
 
   /** Identities of the voters that this node talks to. */
-  get others(): string[] {
-    return this.state.others;
+  get peers(): string[] {
+    return this.state.peers;
   }
 
   /** Identity of the voter with this name, as of the end of the log. */
@@ -82,11 +82,11 @@
 
   /** True for a voter that is known to hold everything committed. */
   isCaughtUp(identity: string): boolean {
-    return this.replication.findMatch(identity) >= this.state.commitIndex;
+    return this.replication.getMatchIndex(identity) >= this.state.commitIndex;
   }
 
   /** The newest voters that are known to be committed, from this disk or since. */
-  listKnownVoters(): VoterSet {
+  listCommittedVoters(): VoterSet {
     return this.state.voterSets[0];
   }
 
@@ -108,7 +108,7 @@
    */
   get isChangingVoters(): boolean {
     const {log, commitIndex, voterSets} = this.state;
-    return voterSets.length > 1 || !log.isSettled(commitIndex);
+    return voterSets.length > 1 || !log.isVoterChangeSettled(commitIndex);
   }
 
   /** True while no other node can have become leader. Ask right before answering. */
@@ -124,7 +124,7 @@
   }
 
   /** Takes over an installed snapshot, once its state is on disk. */
-  finishInstall(start: RaftLog['snapshot']): void {
+  finishSnapshotInstall(start: RaftLog['snapshot']): void {
     this.state.log.reset(start);
     this.state.commitIndex = start.index;
     this.state.persistedIndex = start.index;
@@ -147,13 +147,16 @@
       message: MessageOf<RaftMessage, T>,
     ) => void;
   } = {
-    'vote-ask': (from, message) => this.election.handleAsk(from, message),
-    'vote-answer': (from, message) => this.election.handleAnswer(from, message),
-    'append-ask': (from, message) => this.replication.handleAsk(from, message),
+    'vote-ask': (from, message) =>
+      this.election.handleVoteRequest(from, message),
+    'vote-answer': (from, message) =>
+      this.election.handleVoteResponse(from, message),
+    'append-ask': (from, message) =>
+      this.replication.handleAppendRequest(from, message),
     'append-answer': (from, message) =>
-      this.replication.handleAnswer(from, message),
+      this.replication.handleAppendResponse(from, message),
     'snapshot-ask': (from, message) =>
-      this.replication.handleSnapshot(from, message),
+      this.replication.handleSnapshotRequest(from, message),
   };
 
   private handleMessage(from: string, message: RaftMessage): void {
--- a/src/coordination/agreement/raft_options.ts
+++ b/src/coordination/agreement/raft_options.ts
@@ -11,7 +11,7 @@
   /** Everything up to here is known to be committed (the snapshot's place). */
   readonly commitIndex: number;
   /** Entries up to here were committed, though they may not be applied yet. */
-  readonly knownCommitted?: number;
+  readonly knownCommitIndex?: number;
   readonly timing: RaftTiming;
   /** Uniform in [0, 1). */
   readonly random: () => number;
--- a/src/coordination/agreement/raft_progress.ts
+++ b/src/coordination/agreement/raft_progress.ts
@@ -3,9 +3,9 @@
   /** The last entry known to be on the follower's disk. */
   matchIndex = 0;
   /** When the newest answered round was sent; the follower was reachable then. */
-  contactedAt = -Infinity;
+  lastContactAt = -Infinity;
   private readonly sentAt = new Map<number, number>();
-  private newestRound = 0;
+  private latestRound = 0;
 
   private constructor(public nextIndex: number) {}
 
@@ -20,20 +20,20 @@
   }
 
   /** Remembers when a round first left: what follows under its number proves no later contact. */
-  recordRound(round: number, now: number): void {
-    if (round > this.newestRound) {
-      this.newestRound = round;
+  recordSentRound(round: number, now: number): void {
+    if (round > this.latestRound) {
+      this.latestRound = round;
       this.sentAt.set(round, now);
     }
   }
 
   /** Notes the answer to a round; its sending time is when contact is proved. */
-  recordAnswer(round: number): void {
+  recordAnsweredRound(round: number): void {
     const sentAt = this.sentAt.get(round);
     if (sentAt === undefined) {
       return;
     }
-    this.contactedAt = Math.max(this.contactedAt, sentAt);
+    this.lastContactAt = Math.max(this.lastContactAt, sentAt);
     for (const earlier of this.sentAt.keys()) {
       if (earlier > round) {
         break;
--- a/src/coordination/agreement/raft_replication.ts
+++ b/src/coordination/agreement/raft_replication.ts
@@ -3,7 +3,7 @@
 import {LogEntry} from '../../protocol/log_entry';
 import {MessageOf} from '../../protocol/message_of';
 import {RaftMessage} from '../../protocol/raft_message';
-import {computeEntryBytes} from './compute_entry_bytes';
+import {estimateEntryBytes} from './estimate_entry_bytes';
 import {hasQuorum} from './has_quorum';
 import {RaftProgress} from './raft_progress';
 import {RaftState} from './raft_state';
@@ -12,14 +12,14 @@
 /** More would hold up the heartbeats behind it; a single entry may be larger. */
 const MAX_BYTES_PER_MESSAGE = 1024 * 1024;
 
-type AppendAsk = MessageOf<RaftMessage, 'append-ask'>;
-type AppendAnswer = MessageOf<RaftMessage, 'append-answer'>;
-type SnapshotAsk = MessageOf<RaftMessage, 'snapshot-ask'>;
+type AppendRequest = MessageOf<RaftMessage, 'append-ask'>;
+type AppendResponse = MessageOf<RaftMessage, 'append-answer'>;
+type SnapshotRequest = MessageOf<RaftMessage, 'snapshot-ask'>;
 
 /** Sends entries as leader, stores them as follower. */
 export class RaftReplication {
   private round = 0;
-  private heartbeatAt = 0;
+  private nextHeartbeatAt = 0;
   private electedAt = -Infinity;
 
   private constructor(private readonly state: RaftState) {}
@@ -48,12 +48,12 @@
   tick(): void {
     const {state} = this;
     const since = state.now - state.options.timing.electionMs;
-    if (this.electedAt < since && !state.isQuorumContactedSince(since)) {
+    if (this.electedAt < since && !state.hasQuorumContactSince(since)) {
       state.becomeFollower(state.term, undefined, 'no quorum answered in time');
       return;
     }
-    if (state.now >= this.heartbeatAt) {
-      this.sendRound();
+    if (state.now >= this.nextHeartbeatAt) {
+      this.sendAppendRound();
     }
   }
 
@@ -71,14 +71,14 @@
     }));
     state.log.append(entries);
     state.persistEntries(entries);
-    this.sendRound();
+    this.sendAppendRound();
   }
 
   /** Stores what the leader sent. */
-  handleAsk(from: string, ask: AppendAsk): void {
+  handleAppendRequest(from: string, ask: AppendRequest): void {
     const {state} = this;
     if (ask.term < state.term) {
-      this.answer(from, false, 0, ask.round);
+      this.sendAppendResponse(from, false, 0, ask.round);
       return;
     }
     this.acceptLeader(from);
@@ -88,28 +88,28 @@
       // Committed entries always match; beyond a conflict nothing is known.
       const hint =
         knownTerm === undefined ? state.log.lastIndex : state.commitIndex;
-      this.answer(from, false, hint, ask.round);
+      this.sendAppendResponse(from, false, hint, ask.round);
       return;
     }
-    this.storeEntries(ask.entries);
+    this.appendMissingEntries(ask.entries);
     const matchIndex = ask.previousIndex + ask.entries.length;
-    state.advanceCommit(Math.min(ask.commitIndex, matchIndex));
-    this.answer(from, true, matchIndex, ask.round);
+    state.advanceCommitIndex(Math.min(ask.commitIndex, matchIndex));
+    this.sendAppendResponse(from, true, matchIndex, ask.round);
   }
 
   /** Takes a whole state from the leader when the log no longer reaches back. */
-  handleSnapshot(from: string, ask: SnapshotAsk): void {
+  handleSnapshotRequest(from: string, ask: SnapshotRequest): void {
     const {state} = this;
     if (ask.term < state.term) {
-      this.answer(from, false, 0, ask.round);
+      this.sendAppendResponse(from, false, 0, ask.round);
       return;
     }
     this.acceptLeader(from);
     if (ask.lastIndex > state.commitIndex) {
       const {lastIndex: index, lastTerm: term, voters, state: tables} = ask;
-      state.effects.install = {index, term, voters, state: tables};
+      state.effects.snapshotToInstall = {index, term, voters, state: tables};
     }
-    this.answer(
+    this.sendAppendResponse(
       from,
       true,
       Math.max(ask.lastIndex, state.commitIndex),
@@ -118,13 +118,13 @@
   }
 
   /** Notes how far a follower has come. */
-  handleAnswer(from: string, answer: AppendAnswer): void {
+  handleAppendResponse(from: string, answer: AppendResponse): void {
     const {state} = this;
     if (state.role !== 'leader' || answer.term !== state.term) {
       return;
     }
     const progress = state.getProgress(from);
-    progress.recordAnswer(answer.round);
+    progress.recordAnsweredRound(answer.round);
     if (!answer.isMatch) {
       const hinted = Math.min(progress.nextIndex - 1, answer.matchIndex + 1);
       progress.nextIndex = Math.max(1, progress.matchIndex + 1, hinted);
@@ -132,7 +132,7 @@
     }
     progress.matchIndex = Math.max(progress.matchIndex, answer.matchIndex);
     progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
-    this.countMatches();
+    this.updateCommitIndex();
     if (progress.nextIndex <= state.log.lastIndex) {
       this.sendAppend(from);
     }
@@ -145,7 +145,7 @@
       state.persistedIndex = Math.max(state.persistedIndex, index);
     }
     if (state.role === 'leader') {
-      this.countMatches();
+      this.updateCommitIndex();
     }
   }
 
@@ -154,11 +154,11 @@
     if (state.role !== 'follower' || state.leader !== from) {
       state.becomeFollower(state.term, from, `follows ${from}`);
     }
-    state.heardLeaderAt = state.now;
-    state.electionAt = state.computeElectionTime();
+    state.lastLeaderContactAt = state.now;
+    state.electionDeadline = state.computeElectionDeadline();
   }
 
-  private storeEntries(entries: readonly LogEntry[]): void {
+  private appendMissingEntries(entries: readonly LogEntry[]): void {
     const {log} = this.state;
     const firstNew = entries.findIndex(
       entry =>
@@ -182,10 +182,11 @@
     this.state.persistEntries(added, isConflict ? firstIndex : undefined);
   }
 
-  private sendRound(): void {
+  private sendAppendRound(): void {
     this.round += 1;
-    this.heartbeatAt = this.state.now + this.state.options.timing.heartbeatMs;
-    for (const to of this.state.others) {
+    this.nextHeartbeatAt =
+      this.state.now + this.state.options.timing.heartbeatMs;
+    for (const to of this.state.peers) {
       this.sendAppend(to);
     }
   }
@@ -193,14 +194,14 @@
   private sendAppend(to: string): void {
     const {state} = this;
     const progress = state.getProgress(to);
-    progress.recordRound(this.round, state.now);
+    progress.recordSentRound(this.round, state.now);
     const previousIndex = progress.nextIndex - 1;
     const previousTerm = state.log.getTerm(previousIndex);
     if (previousTerm === undefined) {
       this.sendSnapshot(to, progress);
       return;
     }
-    const entries = takeFitting(
+    const entries = selectFittingEntries(
       state.log.slice(progress.nextIndex, MAX_ENTRIES_PER_MESSAGE),
     );
     progress.nextIndex += entries.length;
@@ -229,7 +230,7 @@
     });
   }
 
-  private answer(
+  private sendAppendResponse(
     to: string,
     isMatch: boolean,
     matchIndex: number,
@@ -244,10 +245,10 @@
     });
   }
 
-  private countMatches(): void {
+  private updateCommitIndex(): void {
     const {state} = this;
-    const candidates = [state.identity, ...state.others].map(id =>
-      this.findMatch(id),
+    const candidates = [state.identity, ...state.peers].map(id =>
+      this.getMatchIndex(id),
     );
     const reached = candidates
       .filter(
@@ -256,26 +257,26 @@
       )
       .sort((left, right) => right - left)
       .find(index =>
-        hasQuorum(state.voterSets, id => this.findMatch(id) >= index),
+        hasQuorum(state.voterSets, id => this.getMatchIndex(id) >= index),
       );
     if (reached === undefined) {
       return;
     }
-    state.advanceCommit(reached);
-    this.settleVoters();
+    state.advanceCommitIndex(reached);
+    this.proposeSettleVoters();
   }
 
   /** Tells in the log that the changes of voters in it are committed, so that disks know it. */
-  private settleVoters(): void {
+  private proposeSettleVoters(): void {
     const {log, commitIndex} = this.state;
-    const unsettled = log.findUnsettled();
+    const unsettled = log.findUnsettledVoterChange();
     if (unsettled !== undefined && unsettled <= commitIndex) {
       this.propose([{type: 'settle-voters', time: 0}]);
     }
   }
 
   /** The last entry that a voter is known to have on disk. */
-  findMatch(identity: string): number {
+  getMatchIndex(identity: string): number {
     if (identity === this.state.identity) {
       return this.state.persistedIndex;
     }
@@ -284,10 +285,10 @@
 }
 
 /** The first entries that fit into one message, one at least. */
-function takeFitting(entries: readonly LogEntry[]): LogEntry[] {
+function selectFittingEntries(entries: readonly LogEntry[]): LogEntry[] {
   let bytes = 0;
   return entries.filter((entry, at) => {
-    bytes += computeEntryBytes(entry);
+    bytes += estimateEntryBytes(entry);
     return at === 0 || bytes <= MAX_BYTES_PER_MESSAGE;
   });
 }
--- a/src/coordination/agreement/raft_state.ts
+++ b/src/coordination/agreement/raft_state.ts
@@ -16,9 +16,9 @@
   persist?: RaftEffects['persist'];
   messages: Outgoing[];
   messagesAfterPersist: Outgoing[];
-  committed: LogEntry[];
-  install?: RaftEffects['install'];
-  change?: RaftEffects['change'];
+  committedEntries: LogEntry[];
+  snapshotToInstall?: RaftEffects['snapshotToInstall'];
+  roleChange?: RaftEffects['roleChange'];
 }
 
 /** The state of one node. */
@@ -32,8 +32,8 @@
   leader: string | undefined;
   /** Entries up to here are on this node's disk. */
   persistedIndex: number;
-  electionAt: number;
-  heardLeaderAt: number;
+  electionDeadline: number;
+  lastLeaderContactAt: number;
   now: number;
   readonly progress = new Map<string, RaftProgress>();
   effects: CollectedEffects = createEffects();
@@ -51,8 +51,8 @@
     // the process and not of the node, a leader stood 0.2 s after the last program
     // listened, and not 0.7 s, when all were killed (logs of one day each).
     const {startedAt = options.now, timing, random} = options;
-    this.heardLeaderAt = startedAt;
-    this.electionAt = Math.max(
+    this.lastLeaderContactAt = startedAt;
+    this.electionDeadline = Math.max(
       startedAt + timing.electionMs * (1 + random()),
       // Nodes that are created late and at the same moment do not stand at the same moment.
       options.now + timing.heartbeatMs * random(),
@@ -78,13 +78,13 @@
   get voterSets(): VoterSet[] {
     const committed = Math.max(
       this.commitIndex,
-      this.options.knownCommitted ?? 0,
+      this.options.knownCommitIndex ?? 0,
     );
-    return this.log.listVoterSets(committed);
+    return this.log.listActiveVoterSets(committed);
   }
 
   /** Identities of the other voters. */
-  get others(): string[] {
+  get peers(): string[] {
     const identities = this.voterSets.flatMap(voters => [...voters.values()]);
     return [...new Set(identities)].filter(
       identity => identity !== this.identity,
@@ -111,12 +111,12 @@
     if (isChange) {
       this.changeRole('follower', reason);
     }
-    this.electionAt = this.computeElectionTime();
+    this.electionDeadline = this.computeElectionDeadline();
   }
 
   changeRole(role: Role, reason: string): void {
     this.role = role;
-    this.effects.change = {role, reason};
+    this.effects.roleChange = {role, reason};
   }
 
   setHardState(term: number, votedFor: string | undefined): void {
@@ -145,13 +145,15 @@
   }
 
   /** Notes that entries up to `index` are committed. */
-  advanceCommit(index: number): void {
+  advanceCommitIndex(index: number): void {
     const target = Math.min(index, this.log.lastIndex);
     if (target <= this.commitIndex) {
       return;
     }
     const count = target - this.commitIndex;
-    this.effects.committed.push(...this.log.slice(this.commitIndex + 1, count));
+    this.effects.committedEntries.push(
+      ...this.log.slice(this.commitIndex + 1, count),
+    );
     this.commitIndex = target;
   }
 
@@ -165,9 +167,10 @@
   }
 
   /** A quorum answered a round that left at `since` or later. */
-  isQuorumContactedSince(since: number): boolean {
+  hasQuorumContactSince(since: number): boolean {
     return hasQuorum(this.voterSets, identity => {
-      const contactedAt = this.progress.get(identity)?.contactedAt ?? -Infinity;
+      const contactedAt =
+        this.progress.get(identity)?.lastContactAt ?? -Infinity;
       return identity === this.identity || contactedAt >= since;
     });
   }
@@ -180,7 +183,7 @@
   hasLease(now: number, trustedSince = -Infinity): boolean {
     const leaseBegan = now - this.options.timing.leaseMs;
     const since = Math.max(leaseBegan, trustedSince);
-    return this.role === 'leader' && this.isQuorumContactedSince(since);
+    return this.role === 'leader' && this.hasQuorumContactSince(since);
   }
 
   /** A leader was heard so lately that nobody else may be voted for. */
@@ -188,10 +191,10 @@
     if (this.role === 'leader') {
       return this.hasLease(this.now);
     }
-    return this.now - this.heardLeaderAt < this.options.timing.electionMs;
+    return this.now - this.lastLeaderContactAt < this.options.timing.electionMs;
   }
 
-  computeElectionTime(): number {
+  computeElectionDeadline(): number {
     return (
       this.now + this.options.timing.electionMs * (1 + this.options.random())
     );
@@ -199,5 +202,5 @@
 }
 
 function createEffects(): CollectedEffects {
-  return {messages: [], messagesAfterPersist: [], committed: []};
+  return {messages: [], messagesAfterPersist: [], committedEntries: []};
 }
--- a/src/coordination/limits/named_limits.ts
+++ b/src/coordination/limits/advertised_limits.ts
@@ -18,7 +18,7 @@
 }
 
 /** Limits by incarnation of a backend server; all times are the caller's monotonic milliseconds. */
-export class NamedLimits {
+export class AdvertisedLimits {
   private readonly limits = new Map<string, NamedLimit>();
   private readonly endedAt = new Map<string, number>();
 
@@ -31,12 +31,12 @@
    * const limits = NamedLimits.create();
    * limits.add('i-7f3a91c2', 3.7, clock.now());
    */
-  static create(): NamedLimits {
-    return new NamedLimits();
+  static create(): AdvertisedLimits {
+    return new AdvertisedLimits();
   }
 
   /** Takes a limit that was named; tells whether it is another one than before. */
-  add(incarnation: string, perSecond: number, at: number): boolean {
+  recordLimit(incarnation: string, perSecond: number, at: number): boolean {
     const known = this.limits.get(incarnation);
     const isLate =
       (known?.namedAt ?? -Infinity) > at ||
@@ -54,7 +54,7 @@
    *
    * @param since when what it answered was sent: a limit that was named later stands
    */
-  end(incarnation: string, since: number): boolean {
+  recordNoLimit(incarnation: string, since: number): boolean {
     const known = this.limits.get(incarnation);
     if (!known || known.namedAt >= since) {
       return false;
--- a/src/coordination/limits/permit_issuer.ts
+++ b/src/coordination/limits/permit_issuer.ts
@@ -66,7 +66,7 @@
   }
 
   /** Answers a gateway that would send one request now. */
-  ask(gatewayId: string, now: number): PermitVerdict {
+  acquire(gatewayId: string, now: number): PermitVerdict {
     this.refresh(now);
     this.askedAt.set(gatewayId, now);
     const isGranted = this.computeWaitMs(now) === 0;
--- a/src/coordination/limits/permit_pacing.ts
+++ b/src/coordination/limits/permit_request_pacer.ts
@@ -10,7 +10,7 @@
 }
 
 /** Follows the leader's answers; all times are the caller's monotonic milliseconds. */
-export class PermitPacing {
+export class PermitRequestPacer {
   private askAgainAt = -Infinity;
   private intervalMs = UNANSWERED_PAUSE_MS;
   /** When the caller that was last told to come back finds a place. */
@@ -25,33 +25,33 @@
    * @example
    * const pacing = PermitPacing.create();
    */
-  static create(): PermitPacing {
-    return new PermitPacing();
+  static create(): PermitRequestPacer {
+    return new PermitRequestPacer();
   }
 
   /** One question at a time, and none before the leader wants it. */
-  canAsk(now: number): boolean {
+  canRequest(now: number): boolean {
     return !this.isAsking && now >= this.askAgainAt;
   }
 
-  begin(): void {
+  startRequest(): void {
     this.isAsking = true;
   }
 
   /** @param verdict undefined where no leader answered */
-  settle(verdict: PacingVerdict | undefined, now: number): void {
+  finishRequest(verdict: PacingVerdict | undefined, now: number): void {
     this.isAsking = false;
     this.intervalMs = verdict?.intervalMs ?? UNANSWERED_PAUSE_MS;
     this.askAgainAt = now + (verdict?.pauseMs ?? UNANSWERED_PAUSE_MS);
   }
 
   /** Until a caller that is refused now finds a place after those told before it. */
-  computeReturnMs(now: number): number {
+  computeRetryAfterMs(now: number): number {
     return Math.max(this.askAgainAt, this.returnsAt + this.intervalMs) - now;
   }
 
   /** Notes that a caller was told to come back then. */
-  recordReturn(inMs: number, now: number): void {
+  recordRetryAfter(inMs: number, now: number): void {
     this.returnsAt = now + inMs;
   }
 }
--- a/src/coordination/requests/admission.ts
+++ b/src/coordination/requests/admission_control.ts
@@ -1,7 +1,7 @@
 /** Counts what each workspace has in flight against its share of the limit. */
 
 /** Decides at once whether a request may start. */
-export class Admission {
+export class AdmissionControl {
   private readonly inFlight = new Map<string, number>();
 
   private constructor() {}
@@ -13,8 +13,8 @@
    * const admission = Admission.create();
    * if (admission.admit('saburtalo', 8)) { ...; admission.release('saburtalo'); }
    */
-  static create(): Admission {
-    return new Admission();
+  static create(): AdmissionControl {
+    return new AdmissionControl();
   }
 
   /**
--- a/src/coordination/requests/dispatch_ledger.ts
+++ b/src/coordination/requests/attempt_tracker.ts
@@ -16,7 +16,7 @@
 }
 
 /** Starts each attempt at most once and answers for its fate. */
-export class DispatchLedger {
+export class AttemptTracker {
   private readonly entries = new Map<string, Entry>();
 
   private constructor() {}
@@ -27,8 +27,8 @@
    * @example
    * const ledger = DispatchLedger.create();
    */
-  static create(): DispatchLedger {
-    return new DispatchLedger();
+  static create(): AttemptTracker {
+    return new AttemptTracker();
   }
 
   /** The known fate of an attempt. */
--- a/src/coordination/requests/check_dispatch.ts
+++ b/src/coordination/requests/check_dispatch.ts
@@ -10,7 +10,7 @@
   /** The group that this host belongs to. */
   readonly group: Group | undefined;
   /** Members without a fresh heartbeat. */
-  readonly missing: readonly string[];
+  readonly missingMembers: readonly string[];
   /** Control confirmed the bundle lately enough. */
   readonly hasBundleLease: boolean;
   readonly hasBackend: boolean;
@@ -48,7 +48,7 @@
       : undefined,
   ({hasBundleLease}) =>
     hasBundleLease ? undefined : 'control did not confirm the bundle in time',
-  ({missing}) =>
+  ({missingMembers: missing}) =>
     missing.length === 0
       ? undefined
       : `members are missing: ${missing.join(' ')}`,
--- a/src/coordination/requests/wave_ms.ts
+++ b/src/coordination/requests/correlated_crash_window_ms.ts
@@ -3,4 +3,4 @@
  * series of crashes is over within some seconds. What two ends speak against is not
  * sent, and not judged, until it is known whether others ended near.
  */
-export const WAVE_MS = 2_000;
+export const CORRELATED_CRASH_WINDOW_MS = 2_000;
--- a/src/coordination/requests/decide_verdict.ts
+++ b/src/coordination/requests/decide_crash_verdict.ts
@@ -1,6 +1,6 @@
 /** Judges one request by the backend servers that ended while it ran there. */
 import {CrashEvidence} from './crash_evidence';
-import {WAVE_MS} from './wave_ms';
+import {CORRELATED_CRASH_WINDOW_MS} from './correlated_crash_window_ms';
 
 /** Two ends that have nothing to do with each other rarely hit the same request. */
 const ENOUGH_ENDS = 2;
@@ -11,11 +11,11 @@
 
 /** What a request is judged by. */
 interface VerdictInput {
-  readonly own: readonly CrashEvidence[];
+  readonly ownCrashes: readonly CrashEvidence[];
   /** Committed wall-clock milliseconds. */
   readonly now: number;
   /** When other backend servers ended that no request explains. */
-  readonly otherEnds: readonly number[];
+  readonly otherCrashTimes: readonly number[];
   /** Another request that is not cleared was there each time. */
   readonly isAmbiguous: boolean;
 }
@@ -27,17 +27,21 @@
  * @example
  * decideVerdict({own, now, otherEnds: [], isAmbiguous: false}); // 'convicted' some time after two ends
  */
-export function decideVerdict(
+export function decideCrashVerdict(
   input: VerdictInput,
 ): 'watched' | 'suspected' | 'convicted' {
-  const {own, now, otherEnds, isAmbiguous} = input;
+  const {ownCrashes: own, now, otherCrashTimes: otherEnds, isAmbiguous} = input;
   const notBegun = own.filter(({hadBegun}) => !hadBegun).length;
   const isInWave = own.some(({time}) =>
-    otherEnds.some(other => Math.abs(other - time) <= WAVE_MS),
+    otherEnds.some(
+      other => Math.abs(other - time) <= CORRELATED_CRASH_WINDOW_MS,
+    ),
   );
   // Losses that come together end healthy requests twice, too: judged at once, these
   // would be refused for good.
-  const isWaveOver = own.every(({time}) => now - time >= WAVE_MS);
+  const isWaveOver = own.every(
+    ({time}) => now - time >= CORRELATED_CRASH_WINDOW_MS,
+  );
   const isAlone = isWaveOver && !isInWave;
   const isGuilty =
     notBegun >= (isAlone ? ENOUGH_ENDS : ENOUGH_IN_WAVE) ||
--- a/src/entry/entry_server.ts
+++ b/src/entry/entry_server.ts
@@ -7,7 +7,7 @@
 import {runStop} from '../common/run_stop';
 import {StopSchedule} from '../common/stop_schedule';
 import {systemClock} from '../common/system_clock';
-import {Admission} from '../coordination/requests/admission';
+import {AdmissionControl} from '../coordination/requests/admission_control';
 import {Bundle} from '../protocol/bundle';
 import {ControlClient} from '../protocol/control_client';
 import {HttpListener} from '../transport/http_listener';
@@ -72,7 +72,7 @@
     onPause: pause =>
       recordPause(this.events, 'control', this.settings.entryId, pause),
   });
-  private readonly admission = Admission.create();
+  private readonly admission = AdmissionControl.create();
   private readonly links: HostLinks;
   private readonly table: RouteTable;
   private readonly runner: RequestRunner;
--- a/src/gateway/backend_limits.ts
+++ b/src/gateway/backend_limits.ts
@@ -2,8 +2,8 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {LimitLines} from '../common/limit_lines';
-import {NamedLimits} from '../coordination/limits/named_limits';
-import {PermitPacing} from '../coordination/limits/permit_pacing';
+import {AdvertisedLimits} from '../coordination/limits/advertised_limits';
+import {PermitRequestPacer} from '../coordination/limits/permit_request_pacer';
 import {permitTiming} from '../coordination/limits/permit_timing';
 import {LimitWord} from '../protocol/limit_word';
 import {PermitVerdict} from '../protocol/permit_verdict';
@@ -31,8 +31,8 @@
 
 /** One for all requests of a gateway. */
 export class BackendLimits {
-  private readonly limits = NamedLimits.create();
-  private readonly pacings = new Map<string, PermitPacing>();
+  private readonly limits = AdvertisedLimits.create();
+  private readonly pacings = new Map<string, PermitRequestPacer>();
   /** The last word on each backend server that a leader has, with that leader's name. */
   private readonly told = new Map<string, string>();
   private tag = '';
@@ -83,7 +83,7 @@
   /** False while it is of no use to ask for a permit. */
   isOpen(incarnation: string): boolean {
     const now = this.options.clock.now();
-    const canAsk = this.pacings.get(incarnation)?.canAsk(now) ?? true;
+    const canAsk = this.pacings.get(incarnation)?.canRequest(now) ?? true;
     return !this.isLimited(incarnation) || (canAsk && now >= this.silentUntil);
   }
 
@@ -96,9 +96,9 @@
     }
     const pacing = this.findPacing(incarnation);
     const askedAt = leaseClock.now();
-    pacing.begin();
+    pacing.startRequest();
     const verdict = await askPermit(limit).catch(() => undefined);
-    pacing.settle(verdict, clock.now());
+    pacing.finishRequest(verdict, clock.now());
     if (!verdict) {
       this.silentUntil = clock.now() + SILENT_MS;
     }
@@ -125,9 +125,9 @@
     const pacings = incarnations
       .filter(incarnation => this.isLimited(incarnation))
       .map(incarnation => this.findPacing(incarnation));
-    const times = pacings.map(pacing => pacing.computeReturnMs(now));
+    const times = pacings.map(pacing => pacing.computeRetryAfterMs(now));
     const inMs = Math.max(0, Math.min(Infinity, ...times));
-    pacings[times.indexOf(Math.min(...times))]?.recordReturn(inMs, now);
+    pacings[times.indexOf(Math.min(...times))]?.recordRetryAfter(inMs, now);
     return inMs;
   }
 
@@ -188,8 +188,8 @@
     const before = this.limits.find(incarnation);
     const isNews =
       perSecond === null
-        ? this.limits.end(incarnation, at)
-        : this.limits.add(incarnation, perSecond, at);
+        ? this.limits.recordNoLimit(incarnation, at)
+        : this.limits.recordLimit(incarnation, perSecond, at);
     if (!isNews) {
       return;
     }
@@ -207,8 +207,8 @@
     });
   }
 
-  private findPacing(incarnation: string): PermitPacing {
-    const pacing = this.pacings.get(incarnation) ?? PermitPacing.create();
+  private findPacing(incarnation: string): PermitRequestPacer {
+    const pacing = this.pacings.get(incarnation) ?? PermitRequestPacer.create();
     this.pacings.set(incarnation, pacing);
     return pacing;
   }
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -249,7 +249,7 @@
         hostId: this.settings.hostId,
         incarnation: this.incarnation,
         group: member.group ?? undefined,
-        missing: member.listMissing(this.clock.now()),
+        missingMembers: member.listMissing(this.clock.now()),
         hasBundleLease: this.session?.hasLease(now) ?? false,
         hasBackend: member.hasOrders(),
         isLeaving: this.isLeaving || (this.slot.current?.isLeaving ?? false),
--- a/src/host/work_runner.ts
+++ b/src/host/work_runner.ts
@@ -1,7 +1,7 @@
 /** Takes dispatches from entries, runs them, answers for their fate. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {DispatchLedger} from '../coordination/requests/dispatch_ledger';
+import {AttemptTracker} from '../coordination/requests/attempt_tracker';
 import {Message} from '../protocol/message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
@@ -42,7 +42,7 @@
 
 /** Runs work on the backend server for every connected entry. */
 export class WorkRunner {
-  private readonly ledger = DispatchLedger.create();
+  private readonly ledger = AttemptTracker.create();
   private readonly running = new Map<RunningAttempt, Dispatch>();
   private readonly connections = new Set<EntryConnection>();
   private readonly timer: NodeJS.Timeout;
--- a/src/state/suspect_table.ts
+++ b/src/state/suspect_table.ts
@@ -1,8 +1,8 @@
 /** Requests under which backend servers ended: what is held against each, and what gateways may do with it. */
 import {z} from 'zod';
 import {CrashEvidence} from '../coordination/requests/crash_evidence';
-import {decideVerdict} from '../coordination/requests/decide_verdict';
-import {WAVE_MS} from '../coordination/requests/wave_ms';
+import {decideCrashVerdict} from '../coordination/requests/decide_crash_verdict';
+import {CORRELATED_CRASH_WINDOW_MS} from '../coordination/requests/correlated_crash_window_ms';
 import {CrashReport} from '../protocol/crash_report';
 import {SuspectNews} from '../protocol/suspect_news';
 import {TrialVerdict} from '../protocol/trial_verdict';
@@ -253,7 +253,12 @@
       end.explainedBy === undefined && !own.has(incarnation) ? [end.time] : [],
     );
     const isAmbiguous = this.hasCompanion(name, suspect);
-    const verdict = decideVerdict({own: crashes, now, otherEnds, isAmbiguous});
+    const verdict = decideCrashVerdict({
+      ownCrashes: crashes,
+      now,
+      otherCrashTimes: otherEnds,
+      isAmbiguous,
+    });
     if (verdict === standing) {
       return verdict;
     }
@@ -375,5 +380,5 @@
 function isHeldBack({crashes}: Suspect, now: number): boolean {
   const notBegun = crashes.filter(({hadBegun}) => !hadBegun);
   const newest = Math.max(...crashes.map(({time}) => time));
-  return notBegun.length > 1 && now - newest < WAVE_MS;
+  return notBegun.length > 1 && now - newest < CORRELATED_CRASH_WINDOW_MS;
 }
--- a/test/control/form_quorum.test.ts
+++ b/test/control/decide_initial_voters.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {formQuorum} from '../../src/control/form_quorum';
+import {decideInitialVoters} from '../../src/control/decide_initial_voters';
 
 function answer(
   identity: string,
@@ -12,8 +12,8 @@
   const one = new Map([['b', answer('b/1')]]);
   const both = new Map([...one, ['c', answer('c/1')]]);
 
-  expect(formQuorum('a/1', ['b', 'c'], one)).toBeUndefined();
-  expect(formQuorum('a/1', ['b', 'c'], both)).toEqual({
+  expect(decideInitialVoters('a/1', ['b', 'c'], one)).toBeUndefined();
+  expect(decideInitialVoters('a/1', ['b', 'c'], both)).toEqual({
     a: 'a/1',
     b: 'b/1',
     c: 'c/1',
@@ -24,10 +24,14 @@
   const voters = {a: 'a/old', b: 'b/1', c: 'c/1'};
 
   expect(
-    formQuorum('a/new', ['b', 'c'], new Map([['b', answer('b/1', voters)]])),
+    decideInitialVoters(
+      'a/new',
+      ['b', 'c'],
+      new Map([['b', answer('b/1', voters)]]),
+    ),
   ).toEqual(voters);
 });
 
 test('a process on its own forms a quorum of one', () => {
-  expect(formQuorum('a/1', [], new Map())).toEqual({a: 'a/1'});
+  expect(decideInitialVoters('a/1', [], new Map())).toEqual({a: 'a/1'});
 });
--- a/test/control/raft_runtime.test.ts
+++ b/test/control/raft_runtime.test.ts
@@ -66,7 +66,7 @@
   const folder = createFolder();
   const disk = await openDisk(folder, 0);
   const runtime = start(disk);
-  await waitUntil('the lead', () => runtime.canAnswer());
+  await waitUntil('the lead', () => runtime.canServe());
   for (let at = 0; at < 30; at += 1) {
     await runtime.propose(drain(`h${at}`));
   }
@@ -79,7 +79,7 @@
 
   const again = await ControlDisk.create(folder, 'a');
   const restarted = start(again);
-  await waitUntil('the lead', () => restarted.canAnswer());
+  await waitUntil('the lead', () => restarted.canServe());
   const hosts = Array.from({length: 30}, (_, at) => `h${at}`);
   expect(hosts.every(hostId => restarted.state.isDrained(hostId))).toBe(true);
   await restarted.close();
@@ -90,7 +90,7 @@
   const failures: Error[] = [];
   const disk = await openDisk(createFolder(), 0);
   const runtime = start(disk, failures);
-  await waitUntil('the lead', () => runtime.canAnswer());
+  await waitUntil('the lead', () => runtime.canServe());
   await disk.log.close();
   const outcome = Promise.race([
     runtime.propose(drain('h')).then(() => 'acknowledged'),
--- a/test/coordination/check_dispatch.test.ts
+++ b/test/coordination/check_dispatch.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 import {checkDispatch} from '../../src/coordination/requests/check_dispatch';
-import {DispatchLedger} from '../../src/coordination/requests/dispatch_ledger';
+import {AttemptTracker} from '../../src/coordination/requests/attempt_tracker';
 import {Group} from '../../src/protocol/group';
 
 const group: Group = {
@@ -21,7 +21,7 @@
   hostId: 'h1',
   incarnation: 'i',
   group,
-  missing: [],
+  missingMembers: [],
   hasBundleLease: true,
   hasBackend: true,
   isLeaving: false,
@@ -62,7 +62,7 @@
     ],
     [{isLeaving: true}, {}, 'the group takes no new work: it is leaving'],
     [{hasBundleLease: false}, {}, 'control did not confirm the bundle in time'],
-    [{missing: ['h2']}, {}, 'members are missing: h2'],
+    [{missingMembers: ['h2']}, {}, 'members are missing: h2'],
     [{hasBackend: false}, {}, 'no backend server is announced'],
   ])('is refused with its reason (%#)', (changes, fields, reason) => {
     expect(
@@ -73,14 +73,14 @@
 
 describe('the ledger', () => {
   test('starts an attempt once', () => {
-    const ledger = DispatchLedger.create();
+    const ledger = AttemptTracker.create();
 
     expect(ledger.start('r.1', 0)).toBe(true);
     expect(ledger.start('r.1', 1)).toBe(false);
   });
 
   test('never starts what it promised not to, and cannot promise what it started', () => {
-    const ledger = DispatchLedger.create();
+    const ledger = AttemptTracker.create();
     ledger.start('r.1', 0);
     ledger.end('r.1', 'answered');
 
--- a/test/coordination/raft_node.test.ts
+++ b/test/coordination/raft_node.test.ts
@@ -192,9 +192,12 @@
   leader.step({type: 'persisted', index: 2, term: 3}, 403);
   expect(leader.role).toBe('leader');
 
-  expect(leader.step(from({...answer, matchIndex: 1}), 404).committed).toEqual(
-    [],
-  );
-  const both = leader.step(from({...answer, matchIndex: 2}), 405).committed;
+  expect(
+    leader.step(from({...answer, matchIndex: 1}), 404).committedEntries,
+  ).toEqual([]);
+  const both = leader.step(
+    from({...answer, matchIndex: 2}),
+    405,
+  ).committedEntries;
   expect(both.map(entry => entry.index)).toEqual([1, 2]);
 });
--- a/test/coordination/raft_voters.test.ts
+++ b/test/coordination/raft_voters.test.ts
@@ -28,7 +28,7 @@
     term: 1,
     votedFor: undefined,
     commitIndex: 0,
-    knownCommitted,
+    knownCommitIndex: knownCommitted,
     timing: TIMING,
     random: () => 0,
     readSnapshot: () => new Uint8Array(),
@@ -67,8 +67,8 @@
       setVoter(1, 'd', 'b'),
     ]);
 
-    expect([...log.listVoterSets(1)[0].keys()]).toEqual(['a', 'c', 'd']);
-    expect(log.listVoterSets(0)).toHaveLength(2);
+    expect([...log.listActiveVoterSets(1)[0].keys()]).toEqual(['a', 'c', 'd']);
+    expect(log.listActiveVoterSets(0)).toHaveLength(2);
   });
 });
 
@@ -81,7 +81,12 @@
   const nobody = () => false;
 
   test('is nothing while nobody asks', () => {
-    const situation = {voters, candidates: [], target: 5, isSilent: nobody};
+    const situation = {
+      voters,
+      candidates: [],
+      target: 5,
+      isUnresponsive: nobody,
+    };
     expect(decideVoterChange(situation)).toBeUndefined();
   });
 
@@ -90,7 +95,7 @@
       voters,
       candidates: ['a/1', 'd/7', 'e/8'],
       target: 5,
-      isSilent: nobody,
+      isUnresponsive: nobody,
     };
     expect(decideVoterChange(situation)).toEqual({name: 'd', identity: 'd/7'});
   });
@@ -100,7 +105,7 @@
       voters,
       candidates: ['d/7'],
       target: 3,
-      isSilent: (identity: string) => identity === 'b/1',
+      isUnresponsive: (identity: string) => identity === 'b/1',
     };
     expect(decideVoterChange(situation)).toEqual({
       name: 'd',
@@ -114,7 +119,7 @@
       voters,
       candidates: ['d/7'],
       target: 3,
-      isSilent: nobody,
+      isUnresponsive: nobody,
     };
     expect(decideVoterChange(situation)).toBeUndefined();
   });
@@ -124,7 +129,7 @@
       voters,
       candidates: ['d/7', 'b/2'],
       target: 5,
-      isSilent: (identity: string) => identity === 'b/1',
+      isUnresponsive: (identity: string) => identity === 'b/1',
     };
     expect(decideVoterChange(situation)).toEqual({name: 'b', identity: 'b/2'});
   });
@@ -134,7 +139,7 @@
       voters,
       candidates: ['b/2'],
       target: 3,
-      isSilent: nobody,
+      isUnresponsive: nobody,
     };
     expect(decideVoterChange(situation)).toBeUndefined();
   });
--- a/test/coordination/voter_change_ends.test.ts
+++ b/test/coordination/voter_change_ends.test.ts
@@ -68,6 +68,6 @@
     const {node} = net.get(findLeader(net) ?? '');
 
     expect(node.isChangingVoters).toBe(false);
-    expect(node.listKnownVoters().has('f')).toBe(true);
+    expect(node.listCommittedVoters().has('f')).toBe(true);
   });
 });
--- a/test/simulation/play_day.ts
+++ b/test/simulation/play_day.ts
@@ -256,12 +256,12 @@
   private change(): void {
     const everyMs = this.isClosed ? BUSY_EVERY_MS : this.day.changeEveryMs;
     this.time.after(everyMs * (0.5 + this.random()), () => this.change());
-    const leader = this.machines.find(({runtime}) => runtime?.canAnswer());
+    const leader = this.machines.find(({runtime}) => runtime?.canServe());
     const {desk, runtime, station} = leader ?? {};
     if (!leader || !desk || !runtime || leader.isFrozen) {
       return;
     }
-    const isAnswered = () => leader.station === station && runtime.canAnswer();
+    const isAnswered = () => leader.station === station && runtime.canServe();
     this.version += 1;
     const version = this.version;
     if (version % CHANGES_PER_VERDICT === 0) {
@@ -343,7 +343,7 @@
 
   /** True while a machine answers, and keeps its promises. */
   private checkAnswers(machine: VirtualMachine): boolean {
-    if (!machine.runtime?.canAnswer() || machine.isFrozen) {
+    if (!machine.runtime?.canServe() || machine.isFrozen) {
       return false;
     }
     const broken = findBrokenPromise(machine, this.acked, this.verdicts);
@@ -369,7 +369,7 @@
   }
 
   private pick(at: number, isLeader = false): VirtualMachine {
-    const leader = this.machines.find(({runtime}) => runtime?.canAnswer());
+    const leader = this.machines.find(({runtime}) => runtime?.canServe());
     return (isLeader && leader) || this.machines[at % VOTERS];
   }
 
--- a/test/state/suspect_table.test.ts
+++ b/test/state/suspect_table.test.ts
@@ -1,6 +1,6 @@
 import * as fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
-import {WAVE_MS} from '../../src/coordination/requests/wave_ms';
+import {CORRELATED_CRASH_WINDOW_MS} from '../../src/coordination/requests/correlated_crash_window_ms';
 import {SuspectTable} from '../../src/state/suspect_table';
 
 const CALLER = 'aaaaaaaa';
@@ -20,7 +20,7 @@
     standing: (name: string) => table.find(name)?.standing,
     /** Lets the time pass after which two ends convict, and has somebody ask. */
     convict: (name: string) => {
-      time += WAVE_MS;
+      time += CORRELATED_CRASH_WINDOW_MS;
       return table.beginTrial(name, 'somewhere', time);
     },
   };
@@ -34,7 +34,7 @@
     wait(500);
     end('i2', ['p', 'h3']);
     expect(grant('p', 'i3')).toBe('busy');
-    wait(WAVE_MS - 1);
+    wait(CORRELATED_CRASH_WINDOW_MS - 1);
     expect(grant('p', 'i3')).toBe('busy');
     wait(1);
     expect(grant('p', 'i3')).toBe('convicted');
@@ -70,7 +70,7 @@
     end('i9', ['h1']);
     wait(500);
     end('i2', ['p']);
-    wait(WAVE_MS);
+    wait(CORRELATED_CRASH_WINDOW_MS);
     expect(grant('p', 'i3')).toBe('granted');
     wait(500);
     end('i3', ['p']);
@@ -84,7 +84,7 @@
     end('i2', ['p']);
     wait(500);
     end('i4', ['h1']);
-    wait(WAVE_MS);
+    wait(CORRELATED_CRASH_WINDOW_MS);
     expect(grant('p', 'i3')).toBe('granted');
   });
 
--- a/test/support/raft_net.ts
+++ b/test/support/raft_net.ts
@@ -204,7 +204,7 @@
       term: disk.term,
       votedFor: disk.votedFor,
       commitIndex: 0,
-      knownCommitted: disk.commitIndex,
+      knownCommitIndex: disk.commitIndex,
       timing: TIMING,
       random: this.random,
       readSnapshot: () => new Uint8Array(),
@@ -227,7 +227,7 @@
         commitIndex: member.node.commitIndex,
       });
     }
-    member.applied.push(...effects.committed);
+    member.applied.push(...effects.committedEntries);
     this.record(identity, effects);
   }
 
@@ -242,7 +242,7 @@
       }
       this.leaders.set(node.term, identity);
     }
-    for (const entry of effects.committed) {
+    for (const entry of effects.committedEntries) {
       const text = JSON.stringify(entry);
       const known = this.committed.get(entry.index) ?? text;
       if (known !== text) {
