--- a/src/coordination/agreement/decide_voter_change.ts
+++ b/src/coordination/agreement/decide_voter_change.ts
@@ -1,47 +1,51 @@
-/** A process that asks to vote, and what is known of the present voters. */
+/** The current voters and the processes that ask to become one. */
 interface VoterChangeInput {
-  /** Committed voters: name to identity. */
+  /** Committed voters, identity by name. */
   readonly voters: ReadonlyMap<string, string>;
-  /** Identities of processes that want to vote and can be reached. */
+  /** Identities of reachable processes that ask to become voters. */
   readonly candidates: readonly string[];
-  /** Voters that the quorum should have. */
+  /** Number of voters that the quorum should have. */
   readonly target: number;
-  /** True for the identity of a voter that has been silent for long. */
+  /** Whether the voter with this identity is gone or has not responded for a long time. */
   readonly isUnresponsive: (identity: string) => boolean;
 }
 
-/** One step: at most one voter comes and one goes. */
+/** A single step: adds one voter and removes at most one. */
 interface VoterChange {
   readonly name: string;
   readonly identity: string;
+  /** Name of the voter that is removed. */
   readonly replaces?: string;
 }
 
 /**
- * Decides the next change of voters: first a process that came back with
- * another disk, then a missing voter, then the place of a silent one.
+ * Decides the next membership change of the quorum. In order of priority: a voter
+ * that returned with a new disk gets its vote back, a missing voter is added, and an
+ * unresponsive voter is replaced.
  *
  * @example
  * const change = decideVoterChange({voters, candidates, target: 5, isSilent});
  */
 export function decideVoterChange(
-  situation: VoterChangeInput,
+  input: VoterChangeInput,
 ): VoterChange | undefined {
-  const {voters, target, isUnresponsive: isSilent} = situation;
-  const candidates = situation.candidates
+  const {voters, target, isUnresponsive} = input;
+  const candidates = input.candidates
     .map(identity => ({name: identity.split('/')[0], identity}))
     .filter(({name, identity}) => voters.get(name) !== identity);
-  const returned = candidates.find(({name}) => {
-    const known = voters.get(name);
-    return known !== undefined && isSilent(known);
+  const returning = candidates.find(({name}) => {
+    const previous = voters.get(name);
+    return previous !== undefined && isUnresponsive(previous);
   });
-  if (returned) {
-    return returned;
+  if (returning) {
+    return returning;
   }
   const added = candidates.find(({name}) => !voters.has(name));
   if (!added || voters.size < target) {
     return added;
   }
-  const silent = [...voters].find(([, identity]) => isSilent(identity));
-  return silent && {...added, replaces: silent[0]};
+  const unresponsive = [...voters].find(([, identity]) =>
+    isUnresponsive(identity),
+  );
+  return unresponsive && {...added, replaces: unresponsive[0]};
 }
--- a/src/coordination/agreement/has_quorum.ts
+++ b/src/coordination/agreement/has_quorum.ts
@@ -1,10 +1,10 @@
 import {VoterSet} from './voter_set';
 
 /**
- * Tells whether a majority of every voter set agrees. Two sets count while a
- * replacement of a voter is not committed yet.
+ * Returns whether a majority of each voter set agrees. While a voter change is not
+ * committed, majorities of both the old and the new set are required.
  *
- * @param agrees whether a voter, named by identity, agrees
+ * @param agrees whether the voter with the given identity agrees
  * @example
  * hasQuorum([voters], identity => granted.has(identity));
  */
--- a/src/coordination/agreement/raft_effects.ts
+++ b/src/coordination/agreement/raft_effects.ts
@@ -1,33 +1,33 @@
 import {LogEntry} from '../../protocol/log_entry';
 import {RaftMessage} from '../../protocol/raft_message';
 
-/** A message to one other node. */
-interface Outgoing {
+/** A message to another node. */
+interface OutgoingMessage {
   readonly to: string;
   readonly message: RaftMessage;
 }
 
-/** What must reach the disk, in this order. */
+/** Writes to stable storage, in this order. */
 interface Persist {
   readonly hardState?: {
     readonly term: number;
     readonly votedFor: string | undefined;
   };
-  /** Drop this entry and all after it first. */
+  /** Index of the first entry to delete before `entries` are appended. */
   readonly truncateFrom?: number;
   readonly entries: readonly LogEntry[];
 }
 
-/** What a node of the agreement asks its surroundings to do. */
+/** I/O that the caller of `RaftNode.step` has to perform. */
 export interface RaftEffects {
   readonly persist?: Persist;
-  /** May leave at once. */
-  readonly messages: readonly Outgoing[];
-  /** Must not leave before `persist` is on disk. */
-  readonly messagesAfterPersist: readonly Outgoing[];
-  /** Entries that are committed now, in order. */
+  /** Messages that may be sent at once. */
+  readonly messages: readonly OutgoingMessage[];
+  /** Messages that must not be sent before `persist` is on disk. */
+  readonly messagesAfterPersist: readonly OutgoingMessage[];
+  /** Newly committed entries, in log order. */
   readonly committedEntries: readonly LogEntry[];
-  /** A snapshot from the leader, to be installed before anything else. */
+  /** A snapshot from the leader, to be installed before any further event is handled. */
   readonly snapshotToInstall?: {
     readonly index: number;
     readonly term: number;
--- a/src/coordination/agreement/raft_election.ts
+++ b/src/coordination/agreement/raft_election.ts
@@ -1,4 +1,4 @@
-/** The half of the agreement that elects a leader. */
+/** Leader election of Raft, with a pre-vote phase. */
 import {MessageOf} from '../../protocol/message_of';
 import {RaftMessage} from '../../protocol/raft_message';
 import {hasQuorum} from './has_quorum';
@@ -7,8 +7,9 @@
 type VoteRequest = MessageOf<RaftMessage, 'vote-ask'>;
 type VoteResponse = MessageOf<RaftMessage, 'vote-answer'>;
 
-/** Asks for votes, gives them and counts them. */
+/** Requests, grants and counts votes. */
 export class RaftElection {
+  /** Identities that granted their vote in the current election. */
   private grantedBy = new Set<string>();
 
   private constructor(
@@ -17,9 +18,9 @@
   ) {}
 
   /**
-   * Creates the electing half of a node.
+   * Creates the election module of a node.
    *
-   * @param onElected called within the step that wins an election
+   * @param onElected called within the step in which this node wins an election
    * @example
    * const election = RaftElection.create(state, () => replication.becomeLeader());
    */
@@ -27,69 +28,82 @@
     return new RaftElection(state, onElected);
   }
 
-  /** Stands for election when the leader was silent for too long. */
+  /** Starts a pre-vote when the election timeout has passed. */
   tick(): void {
     if (this.state.now >= this.state.electionDeadline) {
       this.startElection(true);
     }
   }
 
-  /** Answers a candidate. */
-  handleVoteRequest(from: string, ask: VoteRequest): void {
+  /** Grants or refuses a vote or pre-vote. */
+  handleVoteRequest(from: string, request: VoteRequest): void {
     const {state} = this;
-    const refusal = this.explainRefusal(from, ask);
+    const refusal = this.explainRefusal(from, request);
     const isGranted = refusal === undefined;
-    if (isGranted && !ask.isPreVote) {
+    if (isGranted && !request.isPreVote) {
       state.setHardState(state.term, from);
       state.electionDeadline = state.computeElectionDeadline();
     }
-    const term = ask.isPreVote && isGranted ? ask.term : state.term;
+    const term = request.isPreVote && isGranted ? request.term : state.term;
     state.sendAfterPersist(from, {
       type: 'vote-answer',
       term,
       isGranted,
-      isPreVote: ask.isPreVote,
+      isPreVote: request.isPreVote,
       refusal,
     });
   }
 
   /**
-   * Why a vote is not given; undefined when it is. Who votes stands in the log of
-   * the one that asks: where the asked one's log lacked a change of voters, two lost
-   * disks of five left no leader in 59 s. A leader that is heard keeps out those
-   * that were removed.
+   * Returns why a vote is refused; undefined when it is granted. Whether the candidate
+   * is a voter is not checked: it counts by the candidate's own log, as this node may
+   * not have received the latest voter change. With such a check, the loss of two of
+   * five disks left the quorum without a leader for 59 s. Removed voters cannot disturb
+   * the quorum, since votes are refused while there is a leader.
    */
-  private explainRefusal(from: string, ask: VoteRequest): string | undefined {
+  private explainRefusal(
+    from: string,
+    request: VoteRequest,
+  ): string | undefined {
     const {state} = this;
-    if (!this.canVoteFor(from, ask)) {
+    if (!this.canVoteFor(from, request)) {
       return `term ${state.term}, voted for ${state.votedFor ?? 'nobody'}`;
     }
-    if (!this.hasUpToDateLog(ask)) {
+    if (!this.hasUpToDateLog(request)) {
       const {lastIndex, lastTerm} = state.log;
       return `the log here goes on to ${lastIndex} of term ${lastTerm}`;
     }
     return state.hasRecentLeader() ? 'a leader was heard lately' : undefined;
   }
 
-  /** Counts an answer, if it belongs to the election under way. */
-  handleVoteResponse(from: string, answer: VoteResponse): void {
+  /** Counts a vote if it belongs to the current election. */
+  handleVoteResponse(from: string, response: VoteResponse): void {
     const {state} = this;
-    if (answer.isPreVote && !answer.isGranted && answer.term > state.term) {
-      state.becomeFollower(answer.term, undefined, `saw term ${answer.term}`);
+    if (
+      response.isPreVote &&
+      !response.isGranted &&
+      response.term > state.term
+    ) {
+      state.becomeFollower(
+        response.term,
+        undefined,
+        `received a message of the newer term ${response.term}`,
+      );
       return;
     }
-    const awaitedRole = answer.isPreVote ? 'pre-candidate' : 'candidate';
-    const awaitedTerm = answer.isPreVote ? state.term + 1 : state.term;
+    const expectedRole = response.isPreVote ? 'pre-candidate' : 'candidate';
+    const expectedTerm = response.isPreVote ? state.term + 1 : state.term;
     if (
-      state.role === awaitedRole &&
-      answer.term === awaitedTerm &&
-      answer.isGranted
+      state.role === expectedRole &&
+      response.term === expectedTerm &&
+      response.isGranted
     ) {
       this.grantedBy.add(from);
       this.countVotes();
     }
   }
 
+  /** Starts the pre-vote phase, or the election itself with a new term. */
   private startElection(isPreVote: boolean): void {
     const {state} = this;
     state.electionDeadline = state.computeElectionDeadline();
@@ -99,13 +113,13 @@
     state.leader = undefined;
     state.changeRole(
       isPreVote ? 'pre-candidate' : 'candidate',
-      'no leader was heard in time',
+      'election timeout: no message from a leader',
     );
     this.grantedBy = new Set([state.identity]);
     if (!isPreVote) {
       state.setHardState(state.term + 1, state.identity);
     }
-    const ask: RaftMessage = {
+    const request: RaftMessage = {
       type: 'vote-ask',
       term: isPreVote ? state.term + 1 : state.term,
       lastIndex: state.log.lastIndex,
@@ -113,7 +127,7 @@
       isPreVote,
     };
     for (const to of state.peers) {
-      state.sendAfterPersist(to, ask);
+      state.sendAfterPersist(to, request);
     }
     this.countVotes();
   }
@@ -131,19 +145,22 @@
     }
   }
 
-  private hasUpToDateLog(ask: VoteRequest): boolean {
+  /** Returns whether the candidate's log is at least as up to date as this node's. */
+  private hasUpToDateLog(request: VoteRequest): boolean {
     const {lastTerm, lastIndex} = this.state.log;
-    const isSameTerm = ask.lastTerm === lastTerm;
+    const isSameTerm = request.lastTerm === lastTerm;
     return (
-      ask.lastTerm > lastTerm || (isSameTerm && ask.lastIndex >= lastIndex)
+      request.lastTerm > lastTerm ||
+      (isSameTerm && request.lastIndex >= lastIndex)
     );
   }
 
-  private canVoteFor(from: string, ask: VoteRequest): boolean {
+  /** Returns whether the term allows a vote: a pre-vote needs a newer term, and a term has one vote. */
+  private canVoteFor(from: string, request: VoteRequest): boolean {
     const {state} = this;
-    if (ask.isPreVote) {
-      return ask.term > state.term;
+    if (request.isPreVote) {
+      return request.term > state.term;
     }
-    return ask.term === state.term && (state.votedFor ?? from) === from;
+    return request.term === state.term && (state.votedFor ?? from) === from;
   }
 }
--- a/src/coordination/agreement/raft_event.ts
+++ b/src/coordination/agreement/raft_event.ts
@@ -1,7 +1,7 @@
 import {ControlCommand} from '../../protocol/control_command';
 import {RaftMessage} from '../../protocol/raft_message';
 
-/** What happens to a node of the agreement. */
+/** Input events of a Raft node. */
 export type RaftEvent =
   | {readonly type: 'tick'}
   | {
@@ -10,7 +10,7 @@
       readonly message: RaftMessage;
     }
   | {readonly type: 'propose'; readonly commands: readonly ControlCommand[]}
-  /** What was to be persisted up to this point is on disk. */
+  /** The log up to the entry with this index and term is on disk. */
   | {readonly type: 'persisted'; readonly index: number; readonly term: number}
-  /** A snapshot up to this entry is on disk. */
+  /** A snapshot up to this index is on disk, so that the log before it can be dropped. */
   | {readonly type: 'compact'; readonly index: number};
--- a/src/coordination/agreement/raft_log.ts
+++ b/src/coordination/agreement/raft_log.ts
@@ -1,11 +1,11 @@
-/** The replicated log in memory, from the newest snapshot on. */
+/** The in-memory part of the replicated log, from the newest snapshot on. */
 import {ControlCommand} from '../../protocol/control_command';
 import {LogEntry} from '../../protocol/log_entry';
 import {MessageOf} from '../../protocol/message_of';
 import {CoordinationError} from '../coordination_error';
 import {VoterSet} from './voter_set';
 
-/** Where the log starts: everything up to `index` lies in a snapshot. */
+/** Position of the snapshot that the log follows, and the voters as of that entry. */
 interface SnapshotPosition {
   readonly index: number;
   readonly term: number;
@@ -14,11 +14,11 @@
 
 type VoterEntry = LogEntry & {command: MessageOf<ControlCommand, 'set-voter'>};
 
-/** Entries after a snapshot, and the voter sets that they lead to. */
+/** Log entries after a snapshot, and the voter sets that result from them. */
 export class RaftLog {
-  /** The few entries that change voters, kept apart: they are asked for at every step. */
+  /** Entries that change voters, kept separately since every step reads them. */
   private voterEntries: VoterEntry[] = [];
-  /** Place of the newest entry that settles changes of voters; 0 for none. */
+  /** Index of the last `settle-voters` entry; 0 if there is none. */
   private lastSettleIndex = 0;
 
   private constructor(
@@ -27,17 +27,14 @@
   ) {}
 
   /**
-   * Creates a log from a snapshot's place and the entries behind it.
+   * Creates a log from a snapshot position and the entries after it.
    *
    * @throws CoordinationError when the entries do not follow the snapshot
    * @example
    * const log = RaftLog.create({index: 0, term: 0, voters}, []);
    */
-  static create(
-    start: SnapshotPosition,
-    entries: readonly LogEntry[],
-  ): RaftLog {
-    const log = new RaftLog(start, []);
+  static create(base: SnapshotPosition, entries: readonly LogEntry[]): RaftLog {
+    const log = new RaftLog(base, []);
     log.append(entries);
     return log;
   }
@@ -54,12 +51,12 @@
     return this.entries.at(-1)?.term ?? this.base.term;
   }
 
-  /** The place of the snapshot that the log follows. */
+  /** Position of the snapshot that the log follows. */
   get snapshot(): SnapshotPosition {
     return this.base;
   }
 
-  /** The term of an entry; undefined when it is unknown here. */
+  /** Returns the term of an entry; undefined if the log does not have it. */
   getTerm(index: number): number | undefined {
     if (index === this.base.index) {
       return this.base.term;
@@ -67,14 +64,14 @@
     return this.entries[index - this.firstIndex]?.term;
   }
 
-  /** At most `limit` entries from `index` on. */
+  /** Returns at most `limit` entries from `index` on. */
   slice(index: number, limit: number): LogEntry[] {
     const from = index - this.firstIndex;
     return this.entries.slice(from, from + limit);
   }
 
   /**
-   * Adds entries at the end.
+   * Appends entries.
    *
    * @throws CoordinationError when they leave a gap
    */
@@ -96,13 +93,13 @@
     }
   }
 
-  /** Drops the entry at `index` and all after it. */
+  /** Removes the entry at `index` and all after it. */
   truncate(index: number): void {
     this.entries.length = Math.max(0, index - this.firstIndex);
     this.indexVoterEntries();
   }
 
-  /** Forgets the entries up to `index`, which a snapshot now holds. */
+  /** Removes the entries up to `index`, which a snapshot now contains. */
   compact(index: number): void {
     const term = this.getTerm(index);
     if (term === undefined || index <= this.base.index) {
@@ -114,28 +111,29 @@
     this.indexVoterEntries();
   }
 
-  /** Starts anew behind a snapshot that came from the leader. */
-  reset(start: SnapshotPosition): void {
-    this.base = start;
+  /** Replaces the whole log with the position of a snapshot from the leader. */
+  reset(base: SnapshotPosition): void {
+    this.base = base;
     this.entries = [];
     this.voterEntries = [];
     this.lastSettleIndex = 0;
   }
 
   /**
-   * The voter sets in force: the committed one, then those of entries that are
-   * not committed yet. What an entry settles is committed, whether it is itself or not.
+   * Returns the active voter sets: the committed one, then one for each uncommitted
+   * voter change. Changes before a `settle-voters` entry are committed, even if that
+   * entry itself is not.
    */
   listActiveVoterSets(commitIndex: number): VoterSet[] {
     return this.computeVoterSets(Math.max(commitIndex, this.lastSettleIndex));
   }
 
-  /** The committed voters as of an entry, whatever was settled since. */
+  /** Returns the voters as of an entry, regardless of later entries. */
   findVotersAt(index: number): VoterSet {
     return this.computeVoterSets(index)[0];
   }
 
-  private computeVoterSets(committed: number): VoterSet[] {
+  private computeVoterSets(commitIndex: number): VoterSet[] {
     const sets: VoterSet[] = [this.base.voters];
     for (const {index, command} of this.voterEntries) {
       const voters = new Map(sets[sets.length - 1]);
@@ -143,7 +141,7 @@
         voters.delete(command.replaces);
       }
       voters.set(command.name, command.identity);
-      if (index <= committed) {
+      if (index <= commitIndex) {
         sets.length = 0;
       }
       sets.push(voters);
@@ -151,27 +149,30 @@
     return sets;
   }
 
-  /** The newest change of voters that no entry settles; undefined when all are settled. */
+  /** Returns the index of the last voter change without a later `settle-voters` entry, if any. */
   findUnsettledVoterChange(): number | undefined {
     const index = this.voterEntries.at(-1)?.index ?? 0;
     return index > this.lastSettleIndex ? index : undefined;
   }
 
-  /** True when a committed entry settles every change of voters: a majority has it on disk. */
+  /**
+   * True if a committed `settle-voters` entry follows every voter change, so that a
+   * majority of disks records the changes as committed.
+   */
   isVoterChangeSettled(commitIndex: number): boolean {
-    const isChanging = this.voterEntries.length > 0;
+    const hasVoterEntries = this.voterEntries.length > 0;
     return (
       this.findUnsettledVoterChange() === undefined &&
-      (!isChanging || this.lastSettleIndex <= commitIndex)
+      (!hasVoterEntries || this.lastSettleIndex <= commitIndex)
     );
   }
 
   private indexVoterEntries(): void {
     this.voterEntries = this.entries.filter(isVoterEntry);
-    const settling = this.entries.filter(
+    const settleEntries = this.entries.filter(
       ({command}) => command.type === 'settle-voters',
     );
-    this.lastSettleIndex = settling.at(-1)?.index ?? 0;
+    this.lastSettleIndex = settleEntries.at(-1)?.index ?? 0;
   }
 }
 
--- a/src/coordination/agreement/raft_node.ts
+++ b/src/coordination/agreement/raft_node.ts
@@ -1,11 +1,12 @@
 /**
- * Agreement on a log between control processes, after the Raft paper (Ongaro
- * and Ousterhout, 2014) with pre-vote, a leader that checks its quorum, and
- * voters that are replaced one at a time under both quorums.
+ * Raft consensus (Ongaro and Ousterhout, 2014) on a log that control processes
+ * replicate, with pre-vote, check-quorum, leader leases and joint consensus for
+ * changes of a single voter.
  *
- * A node is a deterministic machine: time and randomness come in, effects go
- * out, and nothing else is touched. It is an object and not a fold, because a
- * log copied at every event would cost more than the agreement itself.
+ * A node is a deterministic state machine without I/O: it takes events, time and
+ * random numbers, and returns the effects to perform. It is a mutable object and not
+ * a reducer, because copying the log at every event would cost more than the
+ * protocol itself.
  */
 import {LogEntry} from '../../protocol/log_entry';
 import {MessageOf} from '../../protocol/message_of';
@@ -19,7 +20,7 @@
 import {RaftState} from './raft_state';
 import {VoterSet} from './voter_set';
 
-/** One node of the agreement. */
+/** One Raft node. */
 export class RaftNode {
   private readonly state: RaftState;
   private readonly replication: RaftReplication;
@@ -56,7 +57,7 @@
     return this.state.log.lastIndex;
   }
 
-  /** Term and vote, as they must survive a restart. */
+  /** Current term and vote, which must survive a restart. */
   get hardState(): {term: number; votedFor: string | undefined} {
     return {term: this.state.term, votedFor: this.state.votedFor};
   }
@@ -65,69 +66,69 @@
     return this.state.commitIndex;
   }
 
-  /** Identity of the leader, as far as this node knows. */
+  /** Identity of the leader, if this node knows it. */
   get leader(): string | undefined {
     return this.state.leader;
   }
 
-  /** Identities of the voters that this node talks to. */
+  /** Identities of the other voters. */
   get peers(): string[] {
     return this.state.peers;
   }
 
-  /** Identity of the voter with this name, as of the end of the log. */
+  /** Returns the identity of the voter with this name, as of the end of the log. */
   findVoter(name: string): string | undefined {
     return this.state.voterSets.at(-1)?.get(name);
   }
 
-  /** True for a voter that is known to hold everything committed. */
+  /** True if the voter is known to have every committed entry on disk. */
   isCaughtUp(identity: string): boolean {
     return this.replication.getMatchIndex(identity) >= this.state.commitIndex;
   }
 
-  /** The newest voters that are known to be committed, from this disk or since. */
+  /** Returns the latest voters known to be committed, by the recovered log or since the restart. */
   listCommittedVoters(): VoterSet {
     return this.state.voterSets[0];
   }
 
-  /** Committed voters as of an entry. */
+  /** Returns the voters as of an entry. */
   listVotersAt(index: number): VoterSet {
     return this.state.log.findVotersAt(index);
   }
 
-  /** Every entry behind the snapshot. */
+  /** Returns all entries after the snapshot. */
   listEntries(): LogEntry[] {
     const {log} = this.state;
     return log.slice(log.firstIndex, log.lastIndex);
   }
 
   /**
-   * A change of voters is proposed, and that it is over is not on a majority of disks
-   * yet. Whoever holds nothing that says so would ask the old voters for a majority,
-   * too: after a loss of all power and two disks no leader came.
+   * True from the proposal of a voter change until a majority has on disk that it is
+   * committed. A restarted node without that record also needs a majority of the old
+   * voters: after a loss of all power and two disks no leader could be elected.
    */
   get isChangingVoters(): boolean {
     const {log, commitIndex, voterSets} = this.state;
     return voterSets.length > 1 || !log.isVoterChangeSettled(commitIndex);
   }
 
-  /** True while no other node can have become leader. Ask right before answering. */
+  /** True while no other node can have become leader. Check it right before sending a response. */
   hasLease(now: number, trustedSince?: number): boolean {
     return this.state.hasLease(now, trustedSince);
   }
 
-  /** Handles one event and returns what to do about it. */
+  /** Handles one event and returns the effects to perform. */
   step(event: RaftEvent, now: number): RaftEffects {
     this.state.startStep(now);
     this.handlers[event.type](event as never);
     return this.state.effects;
   }
 
-  /** Takes over an installed snapshot, once its state is on disk. */
-  finishSnapshotInstall(start: RaftLog['snapshot']): void {
-    this.state.log.reset(start);
-    this.state.commitIndex = start.index;
-    this.state.persistedIndex = start.index;
+  /** Resets the log to a snapshot from the leader, once that snapshot is on disk. */
+  finishSnapshotInstall(position: RaftLog['snapshot']): void {
+    this.state.log.reset(position);
+    this.state.commitIndex = position.index;
+    this.state.persistedIndex = position.index;
   }
 
   private readonly handlers: {
@@ -160,15 +161,15 @@
   };
 
   private handleMessage(from: string, message: RaftMessage): void {
-    const isTrial = 'isPreVote' in message && message.isPreVote;
-    // A candidate that missed a living leader must not raise everybody's term.
-    const isPremature =
+    const isPreVote = 'isPreVote' in message && message.isPreVote;
+    // A candidate that lost contact with a live leader must not depose it by a newer term.
+    const isDisruptive =
       message.type === 'vote-ask' && this.state.hasRecentLeader();
-    if (message.term > this.term && !isTrial && !isPremature) {
+    if (message.term > this.term && !isPreVote && !isDisruptive) {
       this.state.becomeFollower(
         message.term,
         undefined,
-        `saw term ${message.term}`,
+        `received a message of the newer term ${message.term}`,
       );
     }
     this.messageHandlers[message.type](from, message as never);
--- a/src/coordination/agreement/raft_options.ts
+++ b/src/coordination/agreement/raft_options.ts
@@ -1,24 +1,27 @@
 import {RaftLog} from './raft_log';
 import {RaftTiming} from './raft_timing';
 
-/** What a node of the agreement starts from. */
+/** Initial state and dependencies of a Raft node. */
 export interface RaftOptions {
-  /** The identity of this node: its name and that of its disk. */
+  /** Identity of this node: its name and the id of its disk. */
   readonly identity: string;
   readonly log: RaftLog;
   readonly term: number;
   readonly votedFor: string | undefined;
-  /** Everything up to here is known to be committed (the snapshot's place). */
+  /** Index of the last entry that the state contains, which is that of the snapshot. */
   readonly commitIndex: number;
-  /** Entries up to here were committed, though they may not be applied yet. */
+  /** Commit index recovered from the log; the entries up to it may not have been applied yet. */
   readonly knownCommitIndex?: number;
   readonly timing: RaftTiming;
-  /** Uniform in [0, 1). */
+  /** Returns a uniform random number in [0, 1). */
   readonly random: () => number;
-  /** The newest snapshot of the state, for followers that are far behind. */
+  /** Returns the newest snapshot, for followers whose next entry is no longer in the log. */
   readonly readSnapshot: () => Uint8Array;
-  /** Milliseconds on the same clock as the events. */
+  /** Current time in milliseconds, on the clock that is passed to `step`. */
   readonly now: number;
-  /** When this start of the process began, on that clock: it answered nobody since. Without it, `now`. */
+  /**
+   * When the process started, on the same clock: since then it has heard no leader.
+   * Defaults to `now`.
+   */
   readonly startedAt?: number;
 }
--- a/src/coordination/agreement/raft_progress.ts
+++ b/src/coordination/agreement/raft_progress.ts
@@ -1,16 +1,17 @@
-/** What a leader knows about one follower. */
+/** Replication progress of one follower, as tracked by the leader. */
 export class RaftProgress {
-  /** The last entry known to be on the follower's disk. */
+  /** Index of the last entry known to be on the follower's disk. */
   matchIndex = 0;
-  /** When the newest answered round was sent; the follower was reachable then. */
+  /** Send time of the latest round that the follower answered. */
   lastContactAt = -Infinity;
+  /** Send times of unanswered rounds, by round number. */
   private readonly sentAt = new Map<number, number>();
   private latestRound = 0;
 
   private constructor(public nextIndex: number) {}
 
   /**
-   * Starts from the leader's own end of the log.
+   * Creates the progress of a follower that is assumed to have the whole log.
    *
    * @example
    * const progress = RaftProgress.create(log.lastIndex + 1);
@@ -19,7 +20,10 @@
     return new RaftProgress(nextIndex);
   }
 
-  /** Remembers when a round first left: what follows under its number proves no later contact. */
+  /**
+   * Records when the first message of a round was sent. Later messages of the same
+   * round keep that time, since an answer does not tell which of them it belongs to.
+   */
   recordSentRound(round: number, now: number): void {
     if (round > this.latestRound) {
       this.latestRound = round;
@@ -27,18 +31,18 @@
     }
   }
 
-  /** Notes the answer to a round; its sending time is when contact is proved. */
+  /** Records an answer, which proves contact as of the time when its round was sent. */
   recordAnsweredRound(round: number): void {
     const sentAt = this.sentAt.get(round);
     if (sentAt === undefined) {
       return;
     }
     this.lastContactAt = Math.max(this.lastContactAt, sentAt);
-    for (const earlier of this.sentAt.keys()) {
-      if (earlier > round) {
+    for (const sentRound of this.sentAt.keys()) {
+      if (sentRound > round) {
         break;
       }
-      this.sentAt.delete(earlier);
+      this.sentAt.delete(sentRound);
     }
   }
 }
--- a/src/coordination/agreement/raft_replication.ts
+++ b/src/coordination/agreement/raft_replication.ts
@@ -1,4 +1,4 @@
-/** The half of the agreement that copies the log and commits it. */
+/** Log replication of Raft. */
 import {ControlCommand} from '../../protocol/control_command';
 import {LogEntry} from '../../protocol/log_entry';
 import {MessageOf} from '../../protocol/message_of';
@@ -9,15 +9,16 @@
 import {RaftState} from './raft_state';
 
 const MAX_ENTRIES_PER_MESSAGE = 256;
-/** More would hold up the heartbeats behind it; a single entry may be larger. */
+/** A larger message would delay the heartbeats behind it; a single entry may still exceed this. */
 const MAX_BYTES_PER_MESSAGE = 1024 * 1024;
 
 type AppendRequest = MessageOf<RaftMessage, 'append-ask'>;
 type AppendResponse = MessageOf<RaftMessage, 'append-answer'>;
 type SnapshotRequest = MessageOf<RaftMessage, 'snapshot-ask'>;
 
-/** Sends entries as leader, stores them as follower. */
+/** Sends entries as the leader and appends them as a follower. */
 export class RaftReplication {
+  /** Number of the latest round of append messages. */
   private round = 0;
   private nextHeartbeatAt = 0;
   private electedAt = -Infinity;
@@ -25,7 +26,7 @@
   private constructor(private readonly state: RaftState) {}
 
   /**
-   * Creates the replicating half of a node.
+   * Creates the replication module of a node.
    *
    * @example
    * const replication = RaftReplication.create(state);
@@ -34,7 +35,7 @@
     return new RaftReplication(state);
   }
 
-  /** Takes the lead after a won election. */
+  /** Becomes leader after a won election. */
   becomeLeader(): void {
     const {state} = this;
     state.changeRole('leader', `elected in term ${state.term}`);
@@ -44,12 +45,16 @@
     this.propose([{type: 'start-term', time: 0}]);
   }
 
-  /** Keeps followers informed; steps down when a quorum was silent for too long. */
+  /** Sends heartbeats; steps down when a quorum has not answered for the election timeout. */
   tick(): void {
     const {state} = this;
     const since = state.now - state.options.timing.electionMs;
     if (this.electedAt < since && !state.hasQuorumContactSince(since)) {
-      state.becomeFollower(state.term, undefined, 'no quorum answered in time');
+      state.becomeFollower(
+        state.term,
+        undefined,
+        'no answer from a quorum within the election timeout',
+      );
       return;
     }
     if (state.now >= this.nextHeartbeatAt) {
@@ -57,7 +62,7 @@
     }
   }
 
-  /** Appends commands to the log; ignored by a node that does not lead. */
+  /** Appends commands to the log; does nothing unless this node is the leader. */
   propose(commands: readonly ControlCommand[]): void {
     const {state} = this;
     if (state.role !== 'leader') {
@@ -74,63 +79,71 @@
     this.sendAppendRound();
   }
 
-  /** Stores what the leader sent. */
-  handleAppendRequest(from: string, ask: AppendRequest): void {
+  /** Appends entries from the leader. */
+  handleAppendRequest(from: string, request: AppendRequest): void {
     const {state} = this;
-    if (ask.term < state.term) {
-      this.sendAppendResponse(from, false, 0, ask.round);
+    if (request.term < state.term) {
+      this.sendAppendResponse(from, false, 0, request.round);
       return;
     }
     this.acceptLeader(from);
-    const knownTerm = state.log.getTerm(ask.previousIndex);
-    const isBeforeSnapshot = ask.previousIndex < state.log.snapshot.index;
-    if (!isBeforeSnapshot && knownTerm !== ask.previousTerm) {
-      // Committed entries always match; beyond a conflict nothing is known.
+    const knownTerm = state.log.getTerm(request.previousIndex);
+    const isBeforeSnapshot = request.previousIndex < state.log.snapshot.index;
+    if (!isBeforeSnapshot && knownTerm !== request.previousTerm) {
+      // Committed entries always match; after a conflict, no later entry is known to.
       const hint =
         knownTerm === undefined ? state.log.lastIndex : state.commitIndex;
-      this.sendAppendResponse(from, false, hint, ask.round);
+      this.sendAppendResponse(from, false, hint, request.round);
       return;
     }
-    this.appendMissingEntries(ask.entries);
-    const matchIndex = ask.previousIndex + ask.entries.length;
-    state.advanceCommitIndex(Math.min(ask.commitIndex, matchIndex));
-    this.sendAppendResponse(from, true, matchIndex, ask.round);
+    this.appendMissingEntries(request.entries);
+    const matchIndex = request.previousIndex + request.entries.length;
+    state.advanceCommitIndex(Math.min(request.commitIndex, matchIndex));
+    this.sendAppendResponse(from, true, matchIndex, request.round);
   }
 
-  /** Takes a whole state from the leader when the log no longer reaches back. */
-  handleSnapshotRequest(from: string, ask: SnapshotRequest): void {
+  /** Accepts a snapshot, which the leader sends when its log lacks the entries that are needed. */
+  handleSnapshotRequest(from: string, request: SnapshotRequest): void {
     const {state} = this;
-    if (ask.term < state.term) {
-      this.sendAppendResponse(from, false, 0, ask.round);
+    if (request.term < state.term) {
+      this.sendAppendResponse(from, false, 0, request.round);
       return;
     }
     this.acceptLeader(from);
-    if (ask.lastIndex > state.commitIndex) {
-      const {lastIndex: index, lastTerm: term, voters, state: tables} = ask;
-      state.effects.snapshotToInstall = {index, term, voters, state: tables};
+    if (request.lastIndex > state.commitIndex) {
+      const {
+        lastIndex: index,
+        lastTerm: term,
+        voters,
+        state: snapshot,
+      } = request;
+      state.effects.snapshotToInstall = {index, term, voters, state: snapshot};
     }
     this.sendAppendResponse(
       from,
       true,
-      Math.max(ask.lastIndex, state.commitIndex),
-      ask.round,
+      Math.max(request.lastIndex, state.commitIndex),
+      request.round,
     );
   }
 
-  /** Notes how far a follower has come. */
-  handleAppendResponse(from: string, answer: AppendResponse): void {
+  /** Updates the progress of a follower. */
+  handleAppendResponse(from: string, response: AppendResponse): void {
     const {state} = this;
-    if (state.role !== 'leader' || answer.term !== state.term) {
+    if (state.role !== 'leader' || response.term !== state.term) {
       return;
     }
     const progress = state.getProgress(from);
-    progress.recordAnsweredRound(answer.round);
-    if (!answer.isMatch) {
-      const hinted = Math.min(progress.nextIndex - 1, answer.matchIndex + 1);
-      progress.nextIndex = Math.max(1, progress.matchIndex + 1, hinted);
+    progress.recordAnsweredRound(response.round);
+    if (!response.isMatch) {
+      const hintedIndex = Math.min(
+        progress.nextIndex - 1,
+        response.matchIndex + 1,
+      );
+      progress.nextIndex = Math.max(1, progress.matchIndex + 1, hintedIndex);
       return;
     }
-    progress.matchIndex = Math.max(progress.matchIndex, answer.matchIndex);
+    progress.matchIndex = Math.max(progress.matchIndex, response.matchIndex);
     progress.nextIndex = Math.max(progress.nextIndex, progress.matchIndex + 1);
     this.updateCommitIndex();
     if (progress.nextIndex <= state.log.lastIndex) {
@@ -138,7 +151,7 @@
     }
   }
 
-  /** Counts this node's own disk. */
+  /** Records that entries are on this node's disk, which counts towards the commit index. */
   handlePersisted(index: number, term: number): void {
     const {state} = this;
     if (state.log.getTerm(index) === term) {
@@ -152,23 +165,24 @@
   private acceptLeader(from: string): void {
     const {state} = this;
     if (state.role !== 'follower' || state.leader !== from) {
-      state.becomeFollower(state.term, from, `follows ${from}`);
+      state.becomeFollower(state.term, from, `accepted ${from} as the leader`);
     }
     state.lastLeaderContactAt = state.now;
     state.electionDeadline = state.computeElectionDeadline();
   }
 
+  /** Appends the entries that the log lacks, and removes conflicting ones before. */
   private appendMissingEntries(entries: readonly LogEntry[]): void {
     const {log} = this.state;
-    const firstNew = entries.findIndex(
+    const firstMissing = entries.findIndex(
       entry =>
         entry.index > log.snapshot.index &&
         log.getTerm(entry.index) !== entry.term,
     );
-    if (firstNew < 0) {
+    if (firstMissing < 0) {
       return;
     }
-    const added = entries.slice(firstNew);
+    const added = entries.slice(firstMissing);
     const firstIndex = added[0].index;
     const isConflict = firstIndex <= log.lastIndex;
     if (isConflict) {
@@ -245,12 +259,13 @@
     });
   }
 
+  /** Commits the newest entry of the current term that a quorum has on disk. */
   private updateCommitIndex(): void {
     const {state} = this;
     const candidates = [state.identity, ...state.peers].map(id =>
       this.getMatchIndex(id),
     );
-    const reached = candidates
+    const committable = candidates
       .filter(
         index =>
           index > state.commitIndex && state.log.getTerm(index) === state.term,
@@ -259,14 +274,14 @@
       .find(index =>
         hasQuorum(state.voterSets, id => this.getMatchIndex(id) >= index),
       );
-    if (reached === undefined) {
+    if (committable === undefined) {
       return;
     }
-    state.advanceCommitIndex(reached);
+    state.advanceCommitIndex(committable);
     this.proposeSettleVoters();
   }
 
-  /** Tells in the log that the changes of voters in it are committed, so that disks know it. */
+  /** Proposes an entry by which disks record that earlier voter changes are committed. */
   private proposeSettleVoters(): void {
     const {log, commitIndex} = this.state;
     const unsettled = log.findUnsettledVoterChange();
@@ -275,7 +290,7 @@
     }
   }
 
-  /** The last entry that a voter is known to have on disk. */
+  /** Returns the index of the last entry that a voter is known to have on disk. */
   getMatchIndex(identity: string): number {
     if (identity === this.state.identity) {
       return this.state.persistedIndex;
@@ -284,7 +299,7 @@
   }
 }
 
-/** The first entries that fit into one message, one at least. */
+/** Returns the leading entries that fit into one message, but at least one. */
 function selectFittingEntries(entries: readonly LogEntry[]): LogEntry[] {
   let bytes = 0;
   return entries.filter((entry, at) => {
--- a/src/coordination/agreement/raft_state.ts
+++ b/src/coordination/agreement/raft_state.ts
@@ -1,4 +1,4 @@
-/** What a node of the agreement knows, and the steps that both of its halves share. */
+/** State of a Raft node, shared by election and replication. */
 import {LogEntry} from '../../protocol/log_entry';
 import {RaftMessage} from '../../protocol/raft_message';
 import {hasQuorum} from './has_quorum';
@@ -9,19 +9,19 @@
 import {VoterSet} from './voter_set';
 
 type Role = 'follower' | 'pre-candidate' | 'candidate' | 'leader';
-type Outgoing = RaftEffects['messages'][number];
+type OutgoingMessage = RaftEffects['messages'][number];
 
-/** Effects while they are collected. */
+/** Effects of the current step, collected while it runs. */
 interface CollectedEffects {
   persist?: RaftEffects['persist'];
-  messages: Outgoing[];
-  messagesAfterPersist: Outgoing[];
+  messages: OutgoingMessage[];
+  messagesAfterPersist: OutgoingMessage[];
   committedEntries: LogEntry[];
   snapshotToInstall?: RaftEffects['snapshotToInstall'];
   roleChange?: RaftEffects['roleChange'];
 }
 
-/** The state of one node. */
+/** State of one Raft node. */
 export class RaftState {
   readonly log: RaftLog;
   readonly identity: string;
@@ -30,7 +30,7 @@
   commitIndex: number;
   role: Role = 'follower';
   leader: string | undefined;
-  /** Entries up to here are on this node's disk. */
+  /** Index of the last entry on this node's disk. */
   persistedIndex: number;
   electionDeadline: number;
   lastLeaderContactAt: number;
@@ -46,15 +46,15 @@
     this.commitIndex = options.commitIndex;
     this.persistedIndex = options.log.lastIndex;
     this.now = options.now;
-    // A restarted node forgot when it last heard the leader: at the latest when
-    // its process ended, which was before this one began. Counted from the start of
-    // the process and not of the node, a leader stood 0.2 s after the last program
-    // listened, and not 0.7 s, when all were killed (logs of one day each).
+    // A restarted node does not know when it last heard the leader, but it was before
+    // this process started. Counting from that time instead of the node's creation
+    // shortened the time to a leader after all processes were killed: 0.2 s instead of
+    // 0.7 s after the last one listened.
     const {startedAt = options.now, timing, random} = options;
     this.lastLeaderContactAt = startedAt;
     this.electionDeadline = Math.max(
       startedAt + timing.electionMs * (1 + random()),
-      // Nodes that are created late and at the same moment do not stand at the same moment.
+      // Spreads the elections of nodes that are created at the same time, long after they started.
       options.now + timing.heartbeatMs * random(),
     );
   }
@@ -69,18 +69,18 @@
     return new RaftState(options);
   }
 
-  /** Begins one step. */
+  /** Starts a step with no effects collected. */
   startStep(now: number): void {
     this.now = now;
     this.effects = createEffects();
   }
 
   get voterSets(): VoterSet[] {
-    const committed = Math.max(
+    const commitIndex = Math.max(
       this.commitIndex,
       this.options.knownCommitIndex ?? 0,
     );
-    return this.log.listActiveVoterSets(committed);
+    return this.log.listActiveVoterSets(commitIndex);
   }
 
   /** Identities of the other voters. */
@@ -97,7 +97,7 @@
     );
   }
 
-  /** Steps back, into a newer term if `term` is newer. */
+  /** Becomes a follower, in the given term if it is newer. */
   becomeFollower(
     term: number,
     leader: string | undefined,
@@ -144,7 +144,7 @@
     this.effects.messagesAfterPersist.push({to, message});
   }
 
-  /** Notes that entries up to `index` are committed. */
+  /** Commits the entries up to `index`, as far as the log has them. */
   advanceCommitIndex(index: number): void {
     const target = Math.min(index, this.log.lastIndex);
     if (target <= this.commitIndex) {
@@ -166,7 +166,7 @@
     return progress;
   }
 
-  /** A quorum answered a round that left at `since` or later. */
+  /** True if a quorum has answered rounds that were sent at `since` or later. */
   hasQuorumContactSince(since: number): boolean {
     return hasQuorum(this.voterSets, identity => {
       const contactedAt =
@@ -178,15 +178,15 @@
   /**
    * True while no other node can have become leader.
    *
-   * @param trustedSince rounds that left before it prove nothing
+   * @param trustedSince rounds sent earlier are not counted
    */
   hasLease(now: number, trustedSince = -Infinity): boolean {
-    const leaseBegan = now - this.options.timing.leaseMs;
-    const since = Math.max(leaseBegan, trustedSince);
+    const leaseStart = now - this.options.timing.leaseMs;
+    const since = Math.max(leaseStart, trustedSince);
     return this.role === 'leader' && this.hasQuorumContactSince(since);
   }
 
-  /** A leader was heard so lately that nobody else may be voted for. */
+  /** True if this node heard from a leader within the election timeout and so must refuse votes. */
   hasRecentLeader(): boolean {
     if (this.role === 'leader') {
       return this.hasLease(this.now);
--- a/src/coordination/agreement/raft_timing.ts
+++ b/src/coordination/agreement/raft_timing.ts
@@ -1,9 +1,9 @@
-/** Milliseconds that govern the agreement between control processes. */
+/** Timeouts of the Raft protocol, in milliseconds. */
 export interface RaftTiming {
-  /** Between rounds of the leader. */
+  /** Interval between heartbeats of the leader. */
   readonly heartbeatMs: number;
-  /** The shortest silence after which a follower stands for election. */
+  /** Minimum election timeout; the actual one is drawn from one to two times this value. */
   readonly electionMs: number;
-  /** How long a confirmed round lets the leader answer reads; below `electionMs`. */
+  /** Duration of the leader lease after a quorum answered; less than `electionMs`. */
   readonly leaseMs: number;
 }
--- a/src/coordination/agreement/voter_set.ts
+++ b/src/coordination/agreement/voter_set.ts
@@ -1,2 +1,2 @@
-/** The control processes whose votes count: name to identity. */
+/** Voting members of the quorum, identity by name. */
 export type VoterSet = ReadonlyMap<string, string>;
--- a/src/coordination/limits/advertised_limits.ts
+++ b/src/coordination/limits/advertised_limits.ts
@@ -1,25 +1,25 @@
 /**
- * What is known of the limits that backend servers name, from whatever source and
- * in whatever order the words come.
+ * Rate limits that backend servers advertise in their responses. Updates may come
+ * from several sources and in any order; the newest one wins.
  */
 import {LimitWord} from '../../protocol/limit_word';
 
-/** An end is remembered this long, so that an older word does not bring its limit back. */
-const END_KEPT_MS = 10_000;
-/** A limit of a backend server that nobody sends to any more is forgotten after this. */
-const UNUSED_KEPT_MS = 300_000;
+/** How long the end of a limit is remembered, so that an older update does not restore the limit. */
+const END_RETENTION_MS = 10_000;
+/** How long the limit of a backend server that is no longer in use is kept. */
+const UNUSED_RETENTION_MS = 300_000;
 
-/** One backend server's limit. */
-interface NamedLimit {
-  /** Requests a second from all gateways together. */
+/** The rate limit of one backend server. */
+interface AdvertisedLimit {
+  /** Requests per second from all gateways together. */
   readonly perSecond: number;
-  /** When it was last named. */
-  readonly namedAt: number;
+  /** When it was last advertised. */
+  readonly advertisedAt: number;
 }
 
-/** Limits by incarnation of a backend server; all times are the caller's monotonic milliseconds. */
+/** Limits by incarnation of the backend server; all times are monotonic milliseconds of the caller. */
 export class AdvertisedLimits {
-  private readonly limits = new Map<string, NamedLimit>();
+  private readonly limits = new Map<string, AdvertisedLimit>();
   private readonly endedAt = new Map<string, number>();
 
   private constructor() {}
@@ -28,35 +28,35 @@
    * Creates an empty table.
    *
    * @example
-   * const limits = NamedLimits.create();
-   * limits.add('i-7f3a91c2', 3.7, clock.now());
+   * const limits = AdvertisedLimits.create();
+   * limits.recordLimit('i-7f3a91c2', 3.7, clock.now());
    */
   static create(): AdvertisedLimits {
     return new AdvertisedLimits();
   }
 
-  /** Takes a limit that was named; tells whether it is another one than before. */
+  /** Records an advertised limit; returns whether it differs from the previous one. */
   recordLimit(incarnation: string, perSecond: number, at: number): boolean {
     const known = this.limits.get(incarnation);
-    const isLate =
-      (known?.namedAt ?? -Infinity) > at ||
+    const isOutdated =
+      (known?.advertisedAt ?? -Infinity) > at ||
       (this.endedAt.get(incarnation) ?? -Infinity) > at;
-    if (isLate) {
+    if (isOutdated) {
       return false;
     }
     this.endedAt.delete(incarnation);
-    this.limits.set(incarnation, {perSecond, namedAt: at});
+    this.limits.set(incarnation, {perSecond, advertisedAt: at});
     return known?.perSecond !== perSecond;
   }
 
   /**
-   * Takes that a backend server names no limit; tells whether one ended by it.
+   * Records a response without a limit; returns whether this ended a limit.
    *
-   * @param since when what it answered was sent: a limit that was named later stands
+   * @param since when the request was sent: a limit that was advertised later remains
    */
   recordNoLimit(incarnation: string, since: number): boolean {
     const known = this.limits.get(incarnation);
-    if (!known || known.namedAt >= since) {
+    if (!known || known.advertisedAt >= since) {
       return false;
     }
     this.limits.delete(incarnation);
@@ -64,21 +64,21 @@
     return true;
   }
 
-  /** Requests a second, and when that was last named. */
-  find(incarnation: string): NamedLimit | undefined {
+  /** Returns the limit of a backend server, if it has one. */
+  find(incarnation: string): AdvertisedLimit | undefined {
     return this.limits.get(incarnation);
   }
 
-  /** Backend servers with a limit, and those whose limit ended lately. */
+  /** Returns the backend servers that have a limit or whose limit ended recently. */
   list(): string[] {
     return [...this.limits.keys(), ...this.endedAt.keys()];
   }
 
-  /** What another process should know of these, as far as anything is known. */
+  /** Returns updates for another process, for those of the backend servers about which anything is known. */
   describe(incarnations: readonly string[], now: number): LimitWord[] {
     return incarnations.flatMap(incarnation => {
       const known = this.limits.get(incarnation);
-      const at = known?.namedAt ?? this.endedAt.get(incarnation);
+      const at = known?.advertisedAt ?? this.endedAt.get(incarnation);
       const perSecond = known?.perSecond ?? null;
       return at === undefined
         ? []
@@ -86,15 +86,15 @@
     });
   }
 
-  /** Forgets what is over and what nobody uses. */
+  /** Removes outdated ends and limits of unused backend servers. */
   expire(now: number, isUsed: (incarnation: string) => boolean): void {
     for (const [incarnation, at] of this.endedAt) {
-      if (now - at > END_KEPT_MS) {
+      if (now - at > END_RETENTION_MS) {
         this.endedAt.delete(incarnation);
       }
     }
-    for (const [incarnation, {namedAt}] of this.limits) {
-      if (now - namedAt > UNUSED_KEPT_MS && !isUsed(incarnation)) {
+    for (const [incarnation, {advertisedAt}] of this.limits) {
+      if (now - advertisedAt > UNUSED_RETENTION_MS && !isUsed(incarnation)) {
         this.limits.delete(incarnation);
       }
     }
--- a/src/coordination/limits/permit_issuer.ts
+++ b/src/coordination/limits/permit_issuer.ts
@@ -1,55 +1,60 @@
 /**
- * Permits for one backend server that named a limit, each for one request. One
- * process issues all of them, since a share for each gateway is worth nothing where
- * the limit is smaller than the number of gateways, or where demand moves.
+ * Distributed rate limiting for one backend server that advertises a limit: each
+ * request needs a permit. A single process issues all of them, because fixed shares
+ * per gateway fail where the limit is smaller than the number of gateways or demand
+ * moves between them.
  */
 import {permitTiming} from './permit_timing';
 
 const MS_PER_SECOND = 1_000;
-/** Permits that were not asked for are kept for so long, so that a moment without a question loses none. */
+/** Unused permits of this period are kept, so that a short pause between requests loses none. */
 const BURST_MS = 200;
-const LEAST_BURST = 3;
-/** A gateway that asked this lately counts as one with demand. */
-const ASKING_MS = 2_000;
-/** Questions that all gateways together should ask for each permit. */
-const ASKS_PER_PERMIT = 4;
-/** Demand moves between gateways: none is kept from asking for longer. */
-const LONGEST_PAUSE_MS = 2_000;
+const MIN_BURST = 3;
+/** A gateway that requested a permit within this time counts as one with demand. */
+const ACTIVE_WITHIN_MS = 2_000;
+/** Target number of permit requests per issued permit, from all gateways together. */
+const REQUESTS_PER_PERMIT = 4;
+/** Upper bound of the pause between permit requests, as demand moves between gateways. */
+const MAX_PAUSE_MS = 2_000;
 
-/** Whose permits they are. */
+/** Initial state of an issuer. */
 interface PermitIssuerOptions {
+  /** Limit in requests per second. */
   readonly perSecond: number;
   readonly now: number;
-  /** Before it another leader's permits may still be in use. */
+  /** Time before which permits of a previous leader may still be in use. */
   readonly notBefore: number;
 }
 
-/** The answer to a gateway that has a request for the backend server. */
-interface PermitVerdict {
+/** Response to a permit request of a gateway. */
+interface PermitDecision {
   readonly isGranted: boolean;
-  /** Until the same gateway should ask again, in milliseconds. */
+  /** Milliseconds until the same gateway should send its next permit request. */
   readonly pauseMs: number;
-  /** Between two permits for this gateway while the others go on asking, in milliseconds. */
+  /** Expected milliseconds between two permits for this gateway at the current demand. */
   readonly intervalMs: number;
 }
 
-/** Issues at the pace of the limit, and never more than the limit and one in a window. */
+/**
+ * Combines a token bucket, which follows the rate, with a sliding window, in which at
+ * most one request more than the limit is permitted.
+ */
 export class PermitIssuer {
   private perSecond: number;
-  private stock = 1;
-  private stockedAt: number;
-  /** When permits that may count in a window were issued, oldest first. */
+  private tokens = 1;
+  private refilledAt: number;
+  /** Issue times of the permits that may count in the current window, oldest first. */
   private issuedAt: number[] = [];
-  /** When each gateway last asked. */
-  private readonly askedAt = new Map<string, number>();
+  /** Time of the last permit request, by gateway. */
+  private readonly lastRequestAt = new Map<string, number>();
 
   private constructor(private readonly options: PermitIssuerOptions) {
     this.perSecond = options.perSecond;
-    this.stockedAt = options.now;
+    this.refilledAt = options.now;
   }
 
   /**
-   * Creates an issuer that has issued nothing.
+   * Creates an issuer that has not issued any permit.
    *
    * @example
    * const issuer = PermitIssuer.create({perSecond: 3.7, now, notBefore: now});
@@ -58,75 +63,86 @@
     return new PermitIssuer(options);
   }
 
-  /** Follows a limit that has changed; what was issued counts against the new one. */
+  /** Changes the limit; permits issued before count against the new one. */
   setLimit(perSecond: number, now: number): void {
-    this.refresh(now);
+    this.refill(now);
     this.perSecond = perSecond;
-    this.stock = Math.min(this.stock, this.capacity);
+    this.tokens = Math.min(this.tokens, this.bucketCapacity);
   }
 
-  /** Answers a gateway that would send one request now. */
-  acquire(gatewayId: string, now: number): PermitVerdict {
-    this.refresh(now);
-    this.askedAt.set(gatewayId, now);
+  /** Grants a permit for one request if the limit allows it. */
+  acquire(gatewayId: string, now: number): PermitDecision {
+    this.refill(now);
+    this.lastRequestAt.set(gatewayId, now);
     const isGranted = this.computeWaitMs(now) === 0;
     if (isGranted) {
-      this.stock -= 1;
+      this.tokens -= 1;
       this.issuedAt.push(now);
     }
-    const intervalMs = (this.countAskers(now) * MS_PER_SECOND) / this.pace;
+    const intervalMs =
+      (this.countActiveGateways(now) * MS_PER_SECOND) / this.permitsPerSecond;
     const pauseMs = Math.max(
       this.computeWaitMs(now),
-      intervalMs / ASKS_PER_PERMIT,
+      intervalMs / REQUESTS_PER_PERMIT,
     );
     return {
       isGranted,
-      pauseMs: Math.min(pauseMs, LONGEST_PAUSE_MS),
+      pauseMs: Math.min(pauseMs, MAX_PAUSE_MS),
       intervalMs,
     };
   }
 
-  /** Permits a second; some, so that what names a limit of nothing can show that it is over. */
-  private get pace(): number {
+  /**
+   * Permits per second. Never zero: the response to a request is what shows that a
+   * limit of zero has ended.
+   */
+  private get permitsPerSecond(): number {
     const {windowMs, lifeMs} = permitTiming;
     return Math.max(this.perSecond, MS_PER_SECOND / (windowMs + lifeMs));
   }
 
-  private get capacity(): number {
-    return Math.max(LEAST_BURST, 1 + (this.pace * BURST_MS) / MS_PER_SECOND);
+  private get bucketCapacity(): number {
+    return Math.max(
+      MIN_BURST,
+      1 + (this.permitsPerSecond * BURST_MS) / MS_PER_SECOND,
+    );
   }
 
-  private get mostInWindow(): number {
+  private get maxInWindow(): number {
     const {windowMs} = permitTiming;
     return Math.floor((this.perSecond * windowMs) / MS_PER_SECOND + 1);
   }
 
-  /** Until the next permit can be issued. */
+  /** Returns the milliseconds until the next permit can be issued. */
   private computeWaitMs(now: number): number {
     const {windowMs, lifeMs} = permitTiming;
     const {notBefore} = this.options;
-    const spare = this.issuedAt.length - this.mostInWindow;
+    const oldestCounted = this.issuedAt.length - this.maxInWindow;
     const windowOpensAt =
-      spare < 0 ? now : this.issuedAt[spare] + windowMs + lifeMs;
-    const stockMs = ((1 - this.stock) * MS_PER_SECOND) / this.pace;
-    return Math.max(0, notBefore - now, windowOpensAt - now, stockMs);
+      oldestCounted < 0
+        ? now
+        : this.issuedAt[oldestCounted] + windowMs + lifeMs;
+    const tokenWaitMs =
+      ((1 - this.tokens) * MS_PER_SECOND) / this.permitsPerSecond;
+    return Math.max(0, notBefore - now, windowOpensAt - now, tokenWaitMs);
   }
 
-  private refresh(now: number): void {
+  private refill(now: number): void {
     const {windowMs, lifeMs} = permitTiming;
-    const added = ((now - this.stockedAt) * this.pace) / MS_PER_SECOND;
-    this.stock = Math.min(this.capacity, this.stock + added);
-    this.stockedAt = now;
+    const added =
+      ((now - this.refilledAt) * this.permitsPerSecond) / MS_PER_SECOND;
+    this.tokens = Math.min(this.bucketCapacity, this.tokens + added);
+    this.refilledAt = now;
     const since = now - windowMs - lifeMs;
     this.issuedAt = this.issuedAt.filter(at => at > since);
   }
 
-  private countAskers(now: number): number {
-    for (const [gatewayId, at] of this.askedAt) {
-      if (now - at > ASKING_MS) {
-        this.askedAt.delete(gatewayId);
+  private countActiveGateways(now: number): number {
+    for (const [gatewayId, at] of this.lastRequestAt) {
+      if (now - at > ACTIVE_WITHIN_MS) {
+        this.lastRequestAt.delete(gatewayId);
       }
     }
-    return this.askedAt.size;
+    return this.lastRequestAt.size;
   }
 }
--- a/src/coordination/limits/permit_request_pacer.ts
+++ b/src/coordination/limits/permit_request_pacer.ts
@@ -1,57 +1,61 @@
-/** When a gateway may ask for a permit for one backend server, and when its callers find a place there. */
+/** Pacing of the permit requests of a gateway for one backend server, and the retry times of its refused callers. */
 
-/** A leader that did not answer is asked again after this, in milliseconds. */
-const UNANSWERED_PAUSE_MS = 200;
+/** Pause before the next permit request when the leader did not respond, in milliseconds. */
+const NO_RESPONSE_PAUSE_MS = 200;
 
-/** What the leader said. */
-interface PacingVerdict {
+/** Response of the leader, as far as it concerns pacing. */
+interface PacingResponse {
+  /** Time until the next permit request. */
   readonly pauseMs: number;
+  /** Expected time between two permits. */
   readonly intervalMs: number;
 }
 
-/** Follows the leader's answers; all times are the caller's monotonic milliseconds. */
+/** Follows the responses of the leader; all times are monotonic milliseconds of the caller. */
 export class PermitRequestPacer {
-  private askAgainAt = -Infinity;
-  private intervalMs = UNANSWERED_PAUSE_MS;
-  /** When the caller that was last told to come back finds a place. */
-  private returnsAt = -Infinity;
-  private isAsking = false;
+  private nextRequestAt = -Infinity;
+  private intervalMs = NO_RESPONSE_PAUSE_MS;
+  /** Retry time that was given to the last refused caller. */
+  private lastRetryAt = -Infinity;
+  private isRequestPending = false;
 
   private constructor() {}
 
   /**
-   * Creates the pacing of a backend server for which nothing was asked yet.
+   * Creates the pacer of a backend server for which no permit was requested yet.
    *
    * @example
-   * const pacing = PermitPacing.create();
+   * const pacer = PermitRequestPacer.create();
    */
   static create(): PermitRequestPacer {
     return new PermitRequestPacer();
   }
 
-  /** One question at a time, and none before the leader wants it. */
+  /** Allows one request at a time, and none before the pause that the leader demanded is over. */
   canRequest(now: number): boolean {
-    return !this.isAsking && now >= this.askAgainAt;
+    return !this.isRequestPending && now >= this.nextRequestAt;
   }
 
   startRequest(): void {
-    this.isAsking = true;
+    this.isRequestPending = true;
   }
 
-  /** @param verdict undefined where no leader answered */
-  finishRequest(verdict: PacingVerdict | undefined, now: number): void {
-    this.isAsking = false;
-    this.intervalMs = verdict?.intervalMs ?? UNANSWERED_PAUSE_MS;
-    this.askAgainAt = now + (verdict?.pauseMs ?? UNANSWERED_PAUSE_MS);
+  /** @param response undefined if no leader responded */
+  finishRequest(response: PacingResponse | undefined, now: number): void {
+    this.isRequestPending = false;
+    this.intervalMs = response?.intervalMs ?? NO_RESPONSE_PAUSE_MS;
+    this.nextRequestAt = now + (response?.pauseMs ?? NO_RESPONSE_PAUSE_MS);
   }
 
-  /** Until a caller that is refused now finds a place after those told before it. */
+  /** Returns the milliseconds after which a refused caller should retry, behind those refused before it. */
   computeRetryAfterMs(now: number): number {
-    return Math.max(this.askAgainAt, this.returnsAt + this.intervalMs) - now;
+    return (
+      Math.max(this.nextRequestAt, this.lastRetryAt + this.intervalMs) - now
+    );
   }
 
-  /** Notes that a caller was told to come back then. */
-  recordRetryAfter(inMs: number, now: number): void {
-    this.returnsAt = now + inMs;
+  /** Records that a caller was told to retry after this time. */
+  recordRetryAfter(retryAfterMs: number, now: number): void {
+    this.lastRetryAt = now + retryAfterMs;
   }
 }
--- a/src/coordination/limits/permit_timing.ts
+++ b/src/coordination/limits/permit_timing.ts
@@ -1,9 +1,9 @@
-/** Times of permits that the leader and the gateways have to agree on, in milliseconds. */
+/** Permit timing that the leader and the gateways share, in milliseconds. */
 export const permitTiming = {
-  /** Backend servers count what they get over about so long. */
+  /** Approximate length of the window over which backend servers count requests. */
   windowMs: 4_000,
-  /** A permit is used this soon after it was asked for, or not at all. */
+  /** A permit expires if it is not used within this time after it was requested. */
   useWithinMs: 100,
-  /** From the issue of a permit until nothing sent by it can still be on its way. */
+  /** Time from the issue of a permit until its request must have reached the backend server. */
   lifeMs: 150,
 } as const;
--- a/src/coordination/requests/admission_control.ts
+++ b/src/coordination/requests/admission_control.ts
@@ -1,16 +1,16 @@
-/** Counts what each workspace has in flight against its share of the limit. */
+/** Limits the concurrent requests of each workspace. */
 
-/** Decides at once whether a request may start. */
+/** Admits a request or rejects it at once; nothing is queued. */
 export class AdmissionControl {
   private readonly inFlight = new Map<string, number>();
 
   private constructor() {}
 
   /**
-   * Creates an admission with nothing in flight.
+   * Creates an admission control without requests in flight.
    *
    * @example
-   * const admission = Admission.create();
+   * const admission = AdmissionControl.create();
    * if (admission.admit('saburtalo', 8)) { ...; admission.release('saburtalo'); }
    */
   static create(): AdmissionControl {
@@ -18,9 +18,9 @@
   }
 
   /**
-   * Takes one place, if there is one.
+   * Admits one request unless the workspace is at its limit.
    *
-   * @param limit requests of the workspace that this entry may have in flight
+   * @param limit maximum number of concurrent requests of the workspace at this entry
    */
   admit(workspace: string, limit: number): boolean {
     const current = this.inFlight.get(workspace) ?? 0;
@@ -31,13 +31,13 @@
     return true;
   }
 
-  /** Gives a place back. */
+  /** Records that an admitted request has ended. */
   release(workspace: string): void {
     const current = this.inFlight.get(workspace) ?? 0;
     this.inFlight.set(workspace, Math.max(0, current - 1));
   }
 
-  /** Everything in flight. */
+  /** Number of requests in flight. */
   get total(): number {
     return [...this.inFlight.values()].reduce((sum, count) => sum + count, 0);
   }
--- a/src/coordination/requests/attempt_tracker.ts
+++ b/src/coordination/requests/attempt_tracker.ts
@@ -1,74 +1,74 @@
-/** What a host process remembers of the attempts it was sent. */
+/** Attempts that were sent to a host process, and how they ended. */
 import {Outcome} from '../../protocol/outcome';
 
-/** Far longer than any start-by time, so that no late frame outlives its tombstone. */
-const KEEP_MS = 10 * 60_000;
+/** Far longer than any start-by time, so that no delayed frame outlives its tombstone. */
+const RETENTION_MS = 10 * 60_000;
 
-/** The fate of one attempt. */
-type Fate =
+/** State of one attempt. */
+type AttemptState =
   | {readonly status: 'never-started'}
   | {readonly status: 'running'}
   | {readonly status: 'ended'; readonly outcome: Outcome};
 
 interface Entry {
-  fate: Fate;
+  state: AttemptState;
   readonly recordedAt: number;
 }
 
-/** Starts each attempt at most once and answers for its fate. */
+/** Ensures that each attempt starts at most once, and reports its state. */
 export class AttemptTracker {
   private readonly entries = new Map<string, Entry>();
 
   private constructor() {}
 
   /**
-   * Creates an empty ledger.
+   * Creates an empty tracker.
    *
    * @example
-   * const ledger = DispatchLedger.create();
+   * const tracker = AttemptTracker.create();
    */
   static create(): AttemptTracker {
     return new AttemptTracker();
   }
 
-  /** The known fate of an attempt. */
-  find(attemptId: string): Fate | undefined {
-    return this.entries.get(attemptId)?.fate;
+  /** Returns the state of an attempt; undefined if it is unknown. */
+  find(attemptId: string): AttemptState | undefined {
+    return this.entries.get(attemptId)?.state;
   }
 
-  /** Marks an attempt as started; false when it must not be. */
+  /** Records the start of an attempt; returns false if it must not start. */
   start(attemptId: string, now: number): boolean {
     if (this.entries.has(attemptId)) {
       return false;
     }
-    this.removeOld(now);
-    this.entries.set(attemptId, {fate: {status: 'running'}, recordedAt: now});
+    this.removeExpired(now);
+    this.entries.set(attemptId, {state: {status: 'running'}, recordedAt: now});
     return true;
   }
 
   /** Records how a started attempt ended. */
   end(attemptId: string, outcome: Outcome): void {
     const entry = this.entries.get(attemptId);
-    if (entry?.fate.status === 'running') {
-      entry.fate = {status: 'ended', outcome};
+    if (entry?.state.status === 'running') {
+      entry.state = {status: 'ended', outcome};
     }
   }
 
-  /** Promises that an attempt never starts, unless it did; answers its fate. */
-  recordTombstone(attemptId: string, now: number): Fate {
+  /** Prevents an attempt from starting, unless it has started already; returns its state. */
+  recordTombstone(attemptId: string, now: number): AttemptState {
     const known = this.entries.get(attemptId);
     if (known) {
-      return known.fate;
+      return known.state;
     }
-    this.removeOld(now);
-    const fate: Fate = {status: 'never-started'};
-    this.entries.set(attemptId, {fate, recordedAt: now});
-    return fate;
+    this.removeExpired(now);
+    const state: AttemptState = {status: 'never-started'};
+    this.entries.set(attemptId, {state, recordedAt: now});
+    return state;
   }
 
-  private removeOld(now: number): void {
+  private removeExpired(now: number): void {
     for (const [attemptId, entry] of this.entries) {
-      if (now - entry.recordedAt < KEEP_MS) {
+      if (now - entry.recordedAt < RETENTION_MS) {
         return;
       }
       this.entries.delete(attemptId);
--- a/src/coordination/requests/bundle_lease.ts
+++ b/src/coordination/requests/bundle_lease.ts
@@ -1,6 +1,6 @@
-/** The right to take new work, which each answer of control renews. */
+/** A lease under which a process may accept new work; each response from control renews it. */
 export class BundleLease {
-  private until = -Infinity;
+  private expiresAt = -Infinity;
 
   private constructor() {}
 
@@ -9,24 +9,24 @@
    *
    * @example
    * const lease = BundleLease.create();
-   * lease.renew(askedAt, directive.leaseMs);
+   * lease.renew(requestedAt, directive.leaseMs);
    */
   static create(): BundleLease {
     return new BundleLease();
   }
 
   /**
-   * Renews the lease, counted from before the question: a late answer cannot
-   * lengthen it.
+   * Renews the lease. Its duration counts from when the request was sent, so that a
+   * slow response cannot extend it.
    *
-   * @param askedAt milliseconds on the asker's clock
+   * @param requestedAt milliseconds on the clock of this process
    */
-  renew(askedAt: number, leaseMs: number): void {
-    this.until = Math.max(this.until, askedAt + leaseMs);
+  renew(requestedAt: number, leaseMs: number): void {
+    this.expiresAt = Math.max(this.expiresAt, requestedAt + leaseMs);
   }
 
-  /** True while control confirmed the bundle lately enough. */
+  /** Whether control confirmed the bundle recently enough. */
   isHeld(now: number): boolean {
-    return now < this.until;
+    return now < this.expiresAt;
   }
 }
--- a/src/coordination/requests/check_dispatch.ts
+++ b/src/coordination/requests/check_dispatch.ts
@@ -1,27 +1,27 @@
-/** Decides whether a host process may start what an entry sent. */
+/** Validates a dispatched request before a host process starts it. */
 import {Group} from '../../protocol/group';
 import {MessageOf} from '../../protocol/message_of';
 import {WorkMessage} from '../../protocol/work_message';
 
-/** What the host process knows when a dispatch arrives. */
-interface DispatchSituation {
+/** State of the host process when a dispatch arrives. */
+interface DispatchContext {
   readonly hostId: string;
   readonly incarnation: string;
   /** The group that this host belongs to. */
   readonly group: Group | undefined;
-  /** Members without a fresh heartbeat. */
+  /** Group members without a recent heartbeat. */
   readonly missingMembers: readonly string[];
-  /** Control confirmed the bundle lately enough. */
+  /** Whether control confirmed the bundle recently enough. */
   readonly hasBundleLease: boolean;
   readonly hasBackend: boolean;
   readonly isLeaving: boolean;
-  /** This process's monotonic clock, read after the frame was. */
+  /** Monotonic time of this process, taken after the frame was read. */
   readonly now: number;
 }
 
 type Dispatch = MessageOf<WorkMessage, 'dispatch'>;
 type Check = (
-  situation: DispatchSituation,
+  context: DispatchContext,
   dispatch: Dispatch,
 ) => string | undefined;
 
@@ -48,26 +48,26 @@
       : undefined,
   ({hasBundleLease}) =>
     hasBundleLease ? undefined : 'control did not confirm the bundle in time',
-  ({missingMembers: missing}) =>
-    missing.length === 0
+  ({missingMembers}) =>
+    missingMembers.length === 0
       ? undefined
-      : `members are missing: ${missing.join(' ')}`,
+      : `members are missing: ${missingMembers.join(' ')}`,
   ({hasBackend}) => (hasBackend ? undefined : 'no backend server is announced'),
 ];
 
 /**
- * Checks a dispatch in order of certainty; a pure function.
+ * Runs the checks in order, those first that refuse most definitely. A pure function.
  *
- * @returns why it must not start, or undefined when it may
+ * @returns the reason of the refusal, or undefined if the request may start
  * @example
- * const refusal = checkDispatch(situation, dispatch);
+ * const refusal = checkDispatch(context, dispatch);
  */
 export function checkDispatch(
-  situation: DispatchSituation,
+  context: DispatchContext,
   dispatch: Dispatch,
 ): string | undefined {
   for (const check of CHECKS) {
-    const refusal = check(situation, dispatch);
+    const refusal = check(context, dispatch);
     if (refusal) {
       return refusal;
     }
--- a/src/coordination/requests/choose_replica.ts
+++ b/src/coordination/requests/choose_replica.ts
@@ -1,18 +1,19 @@
-/** Chooses where a request runs. */
+/** Load balancing of requests among replicas. */
 
-/** A replica that could take a request. */
+/** A replica that can take a request. */
 interface ReplicaLoad {
   readonly groupId: string;
-  /** Requests that run there, as reported and corrected by our own dispatches. */
+  /** Number of requests in progress there: as reported, corrected by our own dispatches since. */
   readonly running: number;
 }
 
 /**
- * Takes the less loaded of two random replicas: near the best choice without
- * every entry running after the same report.
+ * Chooses the less loaded of two random replicas ("power of two choices"). This comes
+ * close to the best choice without all entries sending to the same replica after a
+ * report.
  *
- * @param random uniform in [0, 1)
- * @returns undefined when there is none
+ * @param random returns a uniform number in [0, 1)
+ * @returns undefined if there are no candidates
  * @example
  * const replica = chooseReplica(candidates, Math.random);
  */
@@ -24,8 +25,8 @@
     return candidates[0];
   }
   const first = Math.floor(random() * candidates.length);
-  const step = 1 + Math.floor(random() * (candidates.length - 1));
-  const second = (first + step) % candidates.length;
+  const offset = 1 + Math.floor(random() * (candidates.length - 1));
+  const second = (first + offset) % candidates.length;
   const [left, right] = [candidates[first], candidates[second]];
   return left.running <= right.running ? left : right;
 }
--- a/src/coordination/requests/correlated_crash_window_ms.ts
+++ b/src/coordination/requests/correlated_crash_window_ms.ts
@@ -1,6 +1,7 @@
 /**
- * Ends of backend servers within this of each other may have one cause: a rack or a
- * series of crashes is over within some seconds. What two ends speak against is not
- * sent, and not judged, until it is known whether others ended near.
+ * Crashes of backend servers within this time of each other may have a common cause:
+ * the loss of a rack or a series of crashes is over within some seconds. A request
+ * suspected after two crashes is neither sent nor judged until this time has passed
+ * and crashes near them are known.
  */
 export const CORRELATED_CRASH_WINDOW_MS = 2_000;
--- a/src/coordination/requests/crash_evidence.ts
+++ b/src/coordination/requests/crash_evidence.ts
@@ -1,8 +1,8 @@
-/** One end of a backend server on which a request ran. */
+/** The crash of a backend server while it ran a request. */
 export interface CrashEvidence {
   readonly incarnation: string;
-  /** Committed wall-clock milliseconds. */
+  /** Wall-clock milliseconds, as committed in the replicated log. */
   readonly time: number;
-  /** Its answer had begun: it had run for a while without harm. */
+  /** The response had started, so the request had run for a while without harm. */
   readonly hadBegun: boolean;
 }
--- a/src/coordination/requests/decide_crash_verdict.ts
+++ b/src/coordination/requests/decide_crash_verdict.ts
@@ -1,53 +1,58 @@
-/** Judges one request by the backend servers that ended while it ran there. */
+/** Detects requests that crash backend servers, from the crashes while they ran. */
 import {CrashEvidence} from './crash_evidence';
 import {CORRELATED_CRASH_WINDOW_MS} from './correlated_crash_window_ms';
 
-/** Two ends that have nothing to do with each other rarely hit the same request. */
-const ENOUGH_ENDS = 2;
-/** As many while others end, too: three ends in a row, each on a trial of its own. */
-const ENOUGH_IN_WAVE = 3;
-/** The same where it had begun to answer each time, as most requests have that are only near. */
-const ENOUGH_BEGUN = 3;
+/** Crashes that convict a request if no others happened near: two unrelated ones rarely hit the same request. */
+const MIN_CRASHES = 2;
+/** The same while other backend servers crash, too: three in a row, each in a trial of its ownCrashes. */
+const MIN_CORRELATED_CRASHES = 3;
+/** The same if the response had started each time, as it has for most requests that are not the cause. */
+const MIN_CRASHES_AFTER_START = 3;
 
-/** What a request is judged by. */
+/** Evidence about one request. */
 interface VerdictInput {
+  /** Crashes of backend servers while they ran the request. */
   readonly ownCrashes: readonly CrashEvidence[];
-  /** Committed wall-clock milliseconds. */
+  /** Wall-clock milliseconds, as committed in the replicated log. */
   readonly now: number;
-  /** When other backend servers ended that no request explains. */
+  /** Times of crashes of other backend servers that no request explains. */
   readonly otherCrashTimes: readonly number[];
-  /** Another request that is not cleared was there each time. */
+  /** Another request that is not cleared ran there at each of the crashes. */
   readonly isAmbiguous: boolean;
 }
 
 /**
- * Decides whether gateways may send a request freely, on trial, or never.
+ * Decides whether gateways may send a request freely, only in a trial, or never again.
  *
- * @returns `watched` where nothing but its presence speaks against it
+ * @returns `watched` if there is no evidence beyond its presence at a crash
  * @example
- * decideVerdict({own, now, otherEnds: [], isAmbiguous: false}); // 'convicted' some time after two ends
+ * decideCrashVerdict({ownCrashes, now, otherCrashTimes: [], isAmbiguous: false});
  */
 export function decideCrashVerdict(
   input: VerdictInput,
 ): 'watched' | 'suspected' | 'convicted' {
-  const {ownCrashes: own, now, otherCrashTimes: otherEnds, isAmbiguous} = input;
-  const notBegun = own.filter(({hadBegun}) => !hadBegun).length;
-  const isInWave = own.some(({time}) =>
-    otherEnds.some(
+  const {ownCrashes, now, otherCrashTimes, isAmbiguous} = input;
+  const crashesBeforeStart = ownCrashes.filter(
+    ({hadBegun}) => !hadBegun,
+  ).length;
+  const isCorrelated = ownCrashes.some(({time}) =>
+    otherCrashTimes.some(
       other => Math.abs(other - time) <= CORRELATED_CRASH_WINDOW_MS,
     ),
   );
-  // Losses that come together end healthy requests twice, too: judged at once, these
-  // would be refused for good.
-  const isWaveOver = own.every(
+  // Correlated crashes can hit a harmless request twice; an immediate verdict would
+  // refuse it permanently.
+  const isWindowOver = ownCrashes.every(
     ({time}) => now - time >= CORRELATED_CRASH_WINDOW_MS,
   );
-  const isAlone = isWaveOver && !isInWave;
-  const isGuilty =
-    notBegun >= (isAlone ? ENOUGH_ENDS : ENOUGH_IN_WAVE) ||
-    (isAlone && own.length >= ENOUGH_BEGUN);
-  if (isGuilty && !isAmbiguous) {
+  const isIsolated = isWindowOver && !isCorrelated;
+  const hasEvidence =
+    crashesBeforeStart >= (isIsolated ? MIN_CRASHES : MIN_CORRELATED_CRASHES) ||
+    (isIsolated && ownCrashes.length >= MIN_CRASHES_AFTER_START);
+  if (hasEvidence && !isAmbiguous) {
     return 'convicted';
   }
-  return notBegun > 0 || own.length >= ENOUGH_ENDS ? 'suspected' : 'watched';
+  return crashesBeforeStart > 0 || ownCrashes.length >= MIN_CRASHES
+    ? 'suspected'
+    : 'watched';
 }
--- a/src/coordination/requests/decide_retry.ts
+++ b/src/coordination/requests/decide_retry.ts
@@ -1,35 +1,35 @@
-/** Decides what follows an attempt that did not answer. */
+/** Retry policy for failed attempts. */
 import {Outcome} from '../../protocol/outcome';
 
-/** What is known after an attempt. */
-interface RetrySituation {
+/** State of a request after an attempt. */
+interface RetryContext {
   readonly outcome: Outcome;
   readonly isRepeatable: boolean;
-  /** Part of an answer has reached the caller. */
+  /** Part of a response has reached the caller. */
   readonly hasDelivered: boolean;
   readonly attemptsMade: number;
   readonly msLeft: number;
-  /** Takes one retry out of the budget; asked last, since it costs. */
+  /** Takes one retry out of the budget; called last, since it uses the budget up. */
   readonly takeRetry: () => boolean;
 }
 
-/** Attempts at one request at the most. */
+/** Maximum number of attempts per request. */
 const MAX_ATTEMPTS = 4;
-/** Below this, a further attempt cannot be answered in time. */
+/** With less time left, another attempt cannot complete. */
 const MIN_MS_LEFT = 50;
 
 /**
- * Tells whether to try again elsewhere.
+ * Decides whether to retry a request at another replica.
  *
- * A request that must run at most once is tried again only when the attempt
- * surely never started. Nothing is tried again once the caller saw a part.
+ * A request that must run at most once is retried only if the attempt certainly never
+ * started. No request is retried once the caller has received part of a response.
  *
  * @example
- * if (decideRetry(situation)) dispatchElsewhere();
+ * if (decideRetry(context)) dispatchElsewhere();
  */
-export function decideRetry(situation: RetrySituation): boolean {
+export function decideRetry(context: RetryContext): boolean {
   const {outcome, isRepeatable, hasDelivered, attemptsMade, msLeft, takeRetry} =
-    situation;
+    context;
   if (outcome === 'answered' || hasDelivered) {
     return false;
   }
--- a/src/coordination/requests/retry_budget.ts
+++ b/src/coordination/requests/retry_budget.ts
@@ -1,9 +1,9 @@
-/** Bounds retries to a share of what succeeded lately. */
+/** Limits retries to a fraction of the recent successes. */
 
-const EARN_PER_SUCCESS = 0.1;
+const TOKENS_PER_SUCCESS = 0.1;
 const MAX_TOKENS = 10;
 
-/** A token bucket that successes fill and retries empty. */
+/** A token bucket that successes refill and retries drain. */
 export class RetryBudget {
   private tokens = MAX_TOKENS;
 
@@ -20,12 +20,12 @@
     return new RetryBudget();
   }
 
-  /** Notes a success, which earns a tenth of a retry. */
+  /** Records a success, which earns a tenth of a retry. */
   recordSuccess(): void {
-    this.tokens = Math.min(MAX_TOKENS, this.tokens + EARN_PER_SUCCESS);
+    this.tokens = Math.min(MAX_TOKENS, this.tokens + TOKENS_PER_SUCCESS);
   }
 
-  /** Takes one retry out; false when there is none left. */
+  /** Takes one retry out of the budget; returns false if none is left. */
   takeRetry(): boolean {
     if (this.tokens < 1) {
       return false;
--- a/src/gateway/backend_limits.ts
+++ b/src/gateway/backend_limits.ts
@@ -197,7 +197,7 @@
     if (perSecond === null) {
       this.pacings.delete(incarnation);
     }
-    const saidAt = perSecond === null ? (before?.namedAt ?? at) : at;
+    const saidAt = perSecond === null ? (before?.advertisedAt ?? at) : at;
     this.lines.record({
       incarnation,
       perSecond,
