--- a/src/coordination/limits/permit_issuer.ts
+++ b/src/coordination/limits/permit_issuer.ts
@@ -65,14 +65,14 @@
 
   /** Changes the limit; permits issued before count against the new one. */
   setLimit(perSecond: number, now: number): void {
-    this.refill(now);
+    this.refresh(now);
     this.perSecond = perSecond;
     this.tokens = Math.min(this.tokens, this.bucketCapacity);
   }
 
   /** Grants a permit for one request if the limit allows it. */
   acquire(gatewayId: string, now: number): PermitDecision {
-    this.refill(now);
+    this.refresh(now);
     this.lastRequestAt.set(gatewayId, now);
     const isGranted = this.computeWaitMs(now) === 0;
     if (isGranted) {
@@ -127,7 +127,7 @@
     return Math.max(0, notBefore - now, windowOpensAt - now, tokenWaitMs);
   }
 
-  private refill(now: number): void {
+  private refresh(now: number): void {
     const {windowMs, lifeMs} = permitTiming;
     const added =
       ((now - this.refilledAt) * this.permitsPerSecond) / MS_PER_SECOND;
--- a/test/control/raft_runtime.test.ts
+++ b/test/control/raft_runtime.test.ts
@@ -50,23 +50,23 @@
   } as const;
 }
 
-test('a log that does not follow its snapshot is refused', async () => {
+test('rejects a log that does not follow its snapshot', async () => {
   const folder = createFolder();
   const disk = await openDisk(folder, 5);
   const command = {type: 'start-term' as const, time: 0};
   await disk.log.append([{type: 'entry', entry: {index: 9, term: 1, command}}]);
   await disk.close();
-  const again = await ControlDisk.create(folder, 'a');
+  const reopened = await ControlDisk.create(folder, 'a');
 
-  expect(() => start(again)).toThrow('entry 9 cannot follow 5');
-  await again.close();
+  expect(() => start(reopened)).toThrow('entry 9 cannot follow 5');
+  await reopened.close();
 });
 
-test('a quorum of one commits, takes snapshots, and finds everything again after a restart', async () => {
+test('a single voter commits entries, takes snapshots and recovers its state after a restart', async () => {
   const folder = createFolder();
   const disk = await openDisk(folder, 0);
   const runtime = start(disk);
-  await waitUntil('the lead', () => runtime.canServe());
+  await waitUntil('leadership', () => runtime.canServe());
   for (let at = 0; at < 30; at += 1) {
     await runtime.propose(drain(`h${at}`));
   }
@@ -77,20 +77,20 @@
   await runtime.close();
   await disk.close();
 
-  const again = await ControlDisk.create(folder, 'a');
-  const restarted = start(again);
-  await waitUntil('the lead', () => restarted.canServe());
+  const reopened = await ControlDisk.create(folder, 'a');
+  const restarted = start(reopened);
+  await waitUntil('leadership', () => restarted.canServe());
   const hosts = Array.from({length: 30}, (_, at) => `h${at}`);
   expect(hosts.every(hostId => restarted.state.isDrained(hostId))).toBe(true);
   await restarted.close();
-  await again.close();
+  await reopened.close();
 });
 
-test('a disk that fails stops the node, and what it did not write is not acknowledged', async () => {
+test('a disk failure stops the node, and commands that were not written are not acknowledged', async () => {
   const failures: Error[] = [];
   const disk = await openDisk(createFolder(), 0);
   const runtime = start(disk, failures);
-  await waitUntil('the lead', () => runtime.canServe());
+  await waitUntil('leadership', () => runtime.canServe());
   await disk.log.close();
   const outcome = Promise.race([
     runtime.propose(drain('h')).then(() => 'acknowledged'),
@@ -101,7 +101,7 @@
   expect(failures[0].message).toMatch(/cannot write the log/);
 });
 
-test('a data folder of another control process is refused', async () => {
+test('rejects the data folder of another control process', async () => {
   const folder = createFolder();
   const disk = await ControlDisk.create(folder, 'a');
   await expect(ControlDisk.create(folder, 'b')).rejects.toThrow(
--- a/test/control/seeded_quorum.test.ts
+++ b/test/control/seeded_quorum.test.ts
@@ -26,7 +26,7 @@
   }
 });
 
-function bundle(version: number): ChannelBundle {
+function createBundle(version: number): ChannelBundle {
   const rules = {version, routes: [], pools: [], limits: LIMITS};
   return {channel: CHANNEL, source: `source of ${version}`, rules};
 }
@@ -35,7 +35,7 @@
   return mkdtempSync(path.join(tmpdir(), 'whinreel-seeded-'));
 }
 
-/** Names of five control processes, the first three being the seeds. */
+/** Reserves the names of five control processes, of which the first three are the seeds. */
 async function reserveNames(): Promise<string[]> {
   const ports = await Promise.all([1, 2, 3, 4, 5].map(() => reservePort()));
   return ports.map(port => `127.0.0.1:${port}`);
@@ -69,7 +69,7 @@
   return control;
 }
 
-const STRAY_ROUTE = {
+const ROUTE_WITH_UNKNOWN_POOL = {
   name: 'r',
   host: 'h',
   pathPrefix: '/',
@@ -94,7 +94,10 @@
 }
 
 function rollOut(client: ControlClient, version: number, ms = ASK_MS) {
-  const ask = {type: 'channel-bundle-ask' as const, bundle: bundle(version)};
+  const ask = {
+    type: 'channel-bundle-ask' as const,
+    bundle: createBundle(version),
+  };
   return client.ask<'channel-bundle-ask'>(ask, ms);
 }
 
@@ -104,7 +107,7 @@
 }
 
 describe('a quorum that grows from seeds', () => {
-  test('takes in those that are no seeds, and serves at every process', async () => {
+  test('admits processes that are not seeds, and every process serves requests', async () => {
     const names = await reserveNames();
     const seeds = names.slice(0, 3);
     await Promise.all(names.map(name => start(name, seeds)));
@@ -116,7 +119,7 @@
     }
   });
 
-  test('acknowledges nothing while too few disks would hold it', async () => {
+  test('acknowledges no bundle while too few disks would have it', async () => {
     const names = await reserveNames();
     const seeds = names.slice(0, 3);
     await Promise.all(seeds.map(name => start(name, seeds)));
@@ -129,7 +132,7 @@
     expect((await rollOut(client, 4)).version).toBe(4);
   });
 
-  test('keeps what it acknowledged when two disks and every process are lost', async () => {
+  test('keeps acknowledged bundles after the loss of two disks and a restart of every process', async () => {
     const names = await reserveNames();
     const seeds = names.slice(0, 3);
     const folders = names.map(createFolder);
@@ -138,7 +141,7 @@
     );
     await rollOut(createClient(seeds), 4);
     await Promise.all(first.map(control => control.close()));
-    // The first two seeds come back with empty disks.
+    // The first two seeds restart with empty disks.
     folders[0] = createFolder();
     folders[1] = createFolder();
     await Promise.all(
@@ -151,7 +154,7 @@
     expect((await rollOut(createClient(seeds), 5)).version).toBe(5);
   });
 
-  test('lets a process at a new address take the place of one that is gone', async () => {
+  test('replaces a lost process by one at a new address', async () => {
     const names = await reserveNames();
     const seeds = names.slice(0, 3);
     const all = await Promise.all(
@@ -180,7 +183,7 @@
       const {control} = await client.ask<'gateway-ask'>(ask, ASK_MS);
       return control.includes(names[3]) && !control.includes(names[1]);
     });
-    // With an entry behind it the change is known to be in force by a majority.
+    // Once a later entry is committed, a majority knows that the voter change is, too.
     await rollOut(createClient([names[0], names[2]]), 5);
     await all[0].close();
 
@@ -190,7 +193,7 @@
   });
 });
 
-describe('what the leader keeps for others', () => {
+describe('calls to the leader', () => {
   async function startOne(): Promise<{
     control: ControlServer;
     client: ControlClient;
@@ -230,7 +233,7 @@
   };
 
   async function rollOutPool(client: ControlClient): Promise<void> {
-    const base = bundle(1);
+    const base = createBundle(1);
     const pools = [{name: 'p', maxConnections: 4}];
     const rules = {...base.rules, pools};
     await client.ask<'channel-bundle-ask'>(
@@ -239,7 +242,7 @@
     );
   }
 
-  test('a gateway is told backend servers, and no more those that leave', async () => {
+  test('a gateway receives the backend servers, but no longer those that are leaving', async () => {
     const {client} = await startOne();
     await rollOutPool(client);
     await client.ask<'registration-ask'>(register({}), ASK_MS);
@@ -253,7 +256,7 @@
     expect(after.retired).toEqual(['i1']);
   });
 
-  test('a gateway with news is answered at once', async () => {
+  test('an urgent request of a gateway is answered at once', async () => {
     const {client} = await startOne();
     await rollOutPool(client);
     const {rulesVersion, tableTag} = await client.ask<'gateway-ask'>(
@@ -272,7 +275,7 @@
     expect(order).toEqual(['urgent', 'held']);
   });
 
-  test('a gateway is told backend servers that registered before the first rules', async () => {
+  test('a gateway receives backend servers that registered before the first rules', async () => {
     const {client} = await startOne();
     await client.ask<'registration-ask'>(register({}), ASK_MS);
     const early = await client.ask<'gateway-ask'>(gatewayAsk, ASK_MS);
@@ -287,7 +290,7 @@
     expect(answer.targets?.map(target => target.incarnation)).toEqual(['i1']);
   });
 
-  test('a departure that was acknowledged outlives the process', async () => {
+  test('an acknowledged departure survives a restart of the process', async () => {
     const [name] = await reserveNames();
     const folder = createFolder();
     const options = {voters: 1, minCopies: 1, folder};
@@ -298,14 +301,14 @@
     await client.ask<'departure-ask'>(departure, ASK_MS);
     await first.close();
     await start(name, [name], options);
-    // A registration that was sent before the departure comes in late.
+    // A registration that was sent before the departure arrives after it.
     await client.ask<'registration-ask'>(register({}), ASK_MS);
     const answer = await client.ask<'gateway-ask'>(gatewayAsk, ASK_MS);
 
     expect(answer.targets).toEqual([]);
   });
 
-  test('a late registration does not undo a newer one', async () => {
+  test('a delayed registration does not overwrite a newer one', async () => {
     const {client} = await startOne();
     await rollOutPool(client);
     await client.ask<'registration-ask'>(
@@ -321,7 +324,7 @@
     expect(targets?.[0].zone).toBe('new');
   });
 
-  test('a gateway hears what the others run, and not itself', async () => {
+  test('a gateway receives the running requests of the other gateways, without its own', async () => {
     const {client} = await startOne();
     await client.ask<'gateway-ask'>(gatewayAsk, ASK_MS);
     const other = {...gatewayAsk, gatewayId: 'h', running: {i1: 3}};
@@ -331,10 +334,10 @@
     expect(answer.gateways).toBe(2);
   });
 
-  test('a channel that the settings do not name is not trusted', async () => {
+  test('a bundle of an untrusted channel is rejected', async () => {
     const {client} = await startOne();
-    const stranger = {...bundle(1), channel: 'strangers'};
-    const ask = {type: 'channel-bundle-ask' as const, bundle: stranger};
+    const untrusted = {...createBundle(1), channel: 'strangers'};
+    const ask = {type: 'channel-bundle-ask' as const, bundle: untrusted};
 
     await expect(client.ask<'channel-bundle-ask'>(ask, 1_500)).rejects.toThrow(
       'no control leader answered',
@@ -342,10 +345,10 @@
     expect(await readSource(client)).toBeNull();
   });
 
-  test('rules that lead nowhere are refused by control, whoever translated them', async () => {
+  test('control rejects rules whose routes name an unknown pool', async () => {
     const {client} = await startOne();
-    const base = bundle(1);
-    const rules = {...base.rules, pools: [], routes: [STRAY_ROUTE]};
+    const base = createBundle(1);
+    const rules = {...base.rules, pools: [], routes: [ROUTE_WITH_UNKNOWN_POOL]};
     const ask = {
       type: 'channel-bundle-ask' as const,
       bundle: {...base, rules},
--- a/test/control/suspended_leader.test.ts
+++ b/test/control/suspended_leader.test.ts
@@ -1,7 +1,8 @@
 /**
- * A machine may be suspended for seconds, and its steady clock does not count them.
- * A leader that was away for 5 s, while the others may have elected another one,
- * found its lease of 450 ms held: its last round was 20 ms old by its own clock.
+ * Guards against a stale leader lease after a suspension of the machine, which its
+ * monotonic clock does not count. After 5 s, in which the others may have elected a
+ * new leader, the lease of 450 ms still appeared valid, since the last round was only
+ * 20 ms old on that clock.
  */
 import {mkdtempSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -12,7 +13,7 @@
 import {suspend} from '../support/suspension';
 import {waitUntil} from '../support/wait_until';
 
-const AWAY_MS = 5_000;
+const SUSPENDED_MS = 5_000;
 const closers: Array<() => unknown> = [];
 
 afterEach(async () => {
@@ -42,7 +43,7 @@
   return events.filter(({type}) => type === 'became-leader').length;
 }
 
-test('a leader that was suspended answers nothing until a quorum has confirmed it again', async () => {
+test('a suspended leader serves no requests until a quorum has confirmed it again', async () => {
   const ports = await Promise.all([1, 2, 3].map(() => reservePort()));
   const names = ports.map(port => `127.0.0.1:${port}`);
   const controls = await Promise.all(names.map(name => start(name, names)));
@@ -51,9 +52,9 @@
   );
   const elections = countElections(controls);
 
-  closers.push(suspend(AWAY_MS));
+  closers.push(suspend(SUSPENDED_MS));
   expect(leader.isLeading).toBe(false);
-  await waitUntil('its next round', () => leader.isLeading);
-  // One round is all that a clock that was only set costs.
+  await waitUntil('the next confirmed round', () => leader.isLeading);
+  // A clock adjustment without a real suspension costs one round but no election.
   expect(countElections(controls)).toBe(elections);
 });
--- a/test/control/known_voters.test.ts
+++ b/test/control/voter_connections.test.ts
@@ -8,12 +8,13 @@
 import {reservePort} from '../support/reserve_port';
 import {waitUntil} from '../support/wait_until';
 
-// Five voters grew out of three seeds. All lost power and the disks of two seeds were
-// lost: as many as are to be borne. A process that started again connected to the
-// seeds alone, though its own log names every voter, and the seed that was left told
-// others of the founders only, since it does not count on its log before it has a
-// leader. The two voters that were no seeds held the newest acknowledged entry, the
-// seed lagged and could not lead, and those two never met: no leader for good.
+// Guards against voters that do not connect to each other after a restart. A quorum
+// grew from three seeds to five voters; then all lost power and two seeds lost their
+// disks, which the quorum must tolerate. Restarted processes connected to the seeds
+// only, although their logs name every voter, and the remaining seed reported only the
+// founders, since it did not rely on its log without a leader. Only the two voters that
+// are no seeds had the newest acknowledged entry and could become leader, but they
+// never connected to each other, so no leader was elected.
 
 const closers: Array<() => unknown> = [];
 
@@ -38,7 +39,7 @@
   return {name, folder, identity};
 }
 
-/** Writes what a voter had on its disk when the power went. */
+/** Writes the disk content of a voter at the time of the power loss. */
 async function writeDisk(
   {folder, name}: Machine,
   founders: readonly Machine[],
@@ -89,8 +90,8 @@
   return {type: 'entry', entry: {index, term: 1, command}};
 }
 
-describe('voters that are no seeds', () => {
-  test('find each other after the disks of two seeds were lost', async () => {
+describe('voters that are not seeds', () => {
+  test('connect to each other after two seeds lost their disks', async () => {
     const [a, b, c, d, e] = await Promise.all(
       [1, 2, 3, 4, 5].map(() => createMachine()),
     );
@@ -112,7 +113,7 @@
     expect(survivors[0].isLeading).toBe(false);
   });
 
-  test('find each other where the wiped seeds are back at once', async () => {
+  test('connect to each other when the wiped seeds restart at the same time', async () => {
     const [a, b, c, d, e] = await Promise.all(
       [1, 2, 3, 4, 5].map(() => createMachine()),
     );
--- a/test/coordination/check_dispatch.test.ts
+++ b/test/coordination/check_dispatch.test.ts
@@ -17,7 +17,7 @@
   ],
   isDraining: false,
 };
-const situation = {
+const context = {
   hostId: 'h1',
   incarnation: 'i',
   group,
@@ -44,9 +44,9 @@
   priority: 5,
 };
 
-describe('a dispatch', () => {
-  test('may start when everything fits, up to its start-by time', () => {
-    expect(checkDispatch(situation, dispatch)).toBeUndefined();
+describe('checkDispatch', () => {
+  test('accepts a valid dispatch up to its start-by time', () => {
+    expect(checkDispatch(context, dispatch)).toBeUndefined();
   });
 
   test.each([
@@ -64,31 +64,33 @@
     [{hasBundleLease: false}, {}, 'control did not confirm the bundle in time'],
     [{missingMembers: ['h2']}, {}, 'members are missing: h2'],
     [{hasBackend: false}, {}, 'no backend server is announced'],
-  ])('is refused with its reason (%#)', (changes, fields, reason) => {
+  ])('refuses a dispatch with the reason (%#)', (changes, fields, reason) => {
     expect(
-      checkDispatch({...situation, ...changes}, {...dispatch, ...fields}),
+      checkDispatch({...context, ...changes}, {...dispatch, ...fields}),
     ).toBe(reason);
   });
 });
 
-describe('the ledger', () => {
-  test('starts an attempt once', () => {
-    const ledger = AttemptTracker.create();
+describe('AttemptTracker', () => {
+  test('starts an attempt only once', () => {
+    const tracker = AttemptTracker.create();
 
-    expect(ledger.start('r.1', 0)).toBe(true);
-    expect(ledger.start('r.1', 1)).toBe(false);
+    expect(tracker.start('r.1', 0)).toBe(true);
+    expect(tracker.start('r.1', 1)).toBe(false);
   });
 
-  test('never starts what it promised not to, and cannot promise what it started', () => {
-    const ledger = AttemptTracker.create();
-    ledger.start('r.1', 0);
-    ledger.end('r.1', 'answered');
+  test('does not start an attempt with a tombstone, and keeps the state of one that started', () => {
+    const tracker = AttemptTracker.create();
+    tracker.start('r.1', 0);
+    tracker.end('r.1', 'answered');
 
-    expect(ledger.recordTombstone('r.1', 1)).toEqual({
+    expect(tracker.recordTombstone('r.1', 1)).toEqual({
       status: 'ended',
       outcome: 'answered',
     });
-    expect(ledger.recordTombstone('r.2', 1)).toEqual({status: 'never-started'});
-    expect(ledger.start('r.2', 2)).toBe(false);
+    expect(tracker.recordTombstone('r.2', 1)).toEqual({
+      status: 'never-started',
+    });
+    expect(tracker.start('r.2', 2)).toBe(false);
   });
 });
--- a/test/coordination/voter_change_ends.test.ts
+++ b/test/coordination/committed_voter_change.test.ts
@@ -2,12 +2,12 @@
 import {createRandom} from '../support/create_random';
 import {RaftNet} from '../support/raft_net';
 
-// A voter was replaced, and then nothing was written for a while. That the change was
-// committed stood in the memory of five processes and on no disk, since what is known
-// to be committed is written beside the next entry only, and the disks of the old
-// voters had stalled until the new one had the change, too. After a loss of all power and
-// of two disks the three that were left asked the old voters for a majority, too, one
-// of which was gone for good: no leader ever, with everything on disk.
+// Guards against a committed voter change that no disk records as committed. The commit
+// index is written only beside the next entry, and none followed the replacement of a
+// voter; the disks of the old voters had stalled until the new one had the change, too.
+// After a loss of all power and of two disks, the remaining three also needed a majority
+// of the old voters, one of which was gone: no leader could ever be elected, although
+// all entries were on disk.
 
 const FOUNDERS = ['a', 'b', 'c', 'd', 'e'];
 const SURVIVORS = [
@@ -25,13 +25,13 @@
   });
 }
 
-/** The place of e, which is gone, is given to f, and then nothing is written. */
+/** Replaces the lost voter e by f and writes nothing afterwards. */
 function replaceVoter(): RaftNet {
   const net = RaftNet.create(FOUNDERS, createRandom(3));
   net.crash('e');
   net.run(3_000);
   const leader = findLeader(net) ?? '';
-  // It has what was written so far, so that the change comes to it with the others.
+  // f starts with a copy of the log, so that it receives the change together with the others.
   net.place('f/1', structuredClone(net.get(leader).disk));
   const command = {
     type: 'set-voter' as const,
@@ -41,7 +41,7 @@
     replaces: 'e',
   };
   net.propose(leader, command);
-  // The other disks stall until the new voter has the change, too.
+  // The other disks stall until the new voter has the change on disk.
   for (let round = 0; round < 8; round += 1) {
     net.tick(20);
     for (let count = net.flights.length; count > 0; count -= 1) {
@@ -53,17 +53,20 @@
   return net;
 }
 
-describe('a change of voters that is over', () => {
-  test.each(SURVIVORS)('is known to %s, %s and %s', (...survivors) => {
-    const net = replaceVoter();
-    net.identities.forEach(name => net.crash(name));
-    survivors.forEach(name => net.restart(name));
-    net.run(10_000);
+describe('a committed voter change', () => {
+  test.each(SURVIVORS)(
+    'is in force for the survivors %s, %s and %s',
+    (...survivors) => {
+      const net = replaceVoter();
+      net.identities.forEach(name => net.crash(name));
+      survivors.forEach(name => net.restart(name));
+      net.run(10_000);
 
-    expect(survivors).toContain(findLeader(net));
-  });
+      expect(survivors).toContain(findLeader(net));
+    },
+  );
 
-  test('holds up the next one until a majority has it on disk', () => {
+  test('is no longer in progress once a majority records it as committed', () => {
     const net = replaceVoter();
     const {node} = net.get(findLeader(net) ?? '');
 
--- a/test/coordination/raft_lease.test.ts
+++ b/test/coordination/raft_lease.test.ts
@@ -7,8 +7,8 @@
 
 const OTHER = 'b/1';
 const voters = new Map(['a', 'b', 'c'].map(name => [name, `${name}/1`]));
-/** More than fits into one message, so a follower is behind when it answers. */
-const MANY = 600;
+/** More entries than fit into one message, so that a follower still lacks some when it answers. */
+const COMMAND_COUNT = 600;
 
 function createLeader() {
   const node = RaftNode.create({
@@ -22,13 +22,13 @@
     readSnapshot: () => new Uint8Array(),
     now: 0,
   });
-  const hear = (message: RaftMessage, now: number) =>
+  const receive = (message: RaftMessage, now: number) =>
     node.step({type: 'message', from: OTHER, message}, now);
   const vote = {type: 'vote-answer', term: 1, isGranted: true} as const;
   node.step({type: 'tick'}, 700);
-  hear({...vote, isPreVote: true}, 701);
-  const elected = hear({...vote, isPreVote: false}, 702);
-  return {node, hear, elected};
+  receive({...vote, isPreVote: true}, 701);
+  const elected = receive({...vote, isPreVote: false}, 702);
+  return {node, receive, elected};
 }
 
 function findRound(effects: ReturnType<RaftNode['step']>): number {
@@ -36,18 +36,18 @@
   return sent && 'round' in sent ? sent.round : 0;
 }
 
-test('a leader that stood still has no lease by answers from before, though more is sent under their round', () => {
-  const {node, hear, elected} = createLeader();
+test('a leader that was paused gets no lease from earlier answers, though messages of their round are sent later', () => {
+  const {node, receive, elected} = createLeader();
   expect(node.role).toBe('leader');
-  const commands = Array.from({length: MANY}, (): ControlCommand => {
+  const commands = Array.from({length: COMMAND_COUNT}, (): ControlCommand => {
     return {type: 'start-term', time: 0};
   });
-  const last = findRound(node.step({type: 'propose', commands}, 710));
+  const lastRound = findRound(node.step({type: 'propose', commands}, 710));
   const answer = {type: 'append-answer', term: 1, isMatch: true} as const;
-  // Both answers waited in the socket of a process that stood still for 5 s.
-  const wokenAt = 5_710;
-  hear({...answer, matchIndex: 1, round: findRound(elected)}, wokenAt);
-  expect(node.hasLease(wokenAt)).toBe(false);
-  hear({...answer, matchIndex: 257, round: last}, wokenAt);
-  expect(node.hasLease(wokenAt)).toBe(false);
+  // Both answers arrived while the process was paused for 5 s and are read after it.
+  const resumedAt = 5_710;
+  receive({...answer, matchIndex: 1, round: findRound(elected)}, resumedAt);
+  expect(node.hasLease(resumedAt)).toBe(false);
+  receive({...answer, matchIndex: 257, round: lastRound}, resumedAt);
+  expect(node.hasLease(resumedAt)).toBe(false);
 });
--- a/test/coordination/raft_node.test.ts
+++ b/test/coordination/raft_node.test.ts
@@ -8,7 +8,7 @@
 const NODES = ['a', 'b', 'c'];
 const RUNS = 1_000;
 
-/** Numbers in [0, 1) that depend on nothing but the seed. */
+/** Creates a deterministic generator of numbers in [0, 1). */
 function createRandom(seed: number): () => number {
   let state = seed >>> 0;
   return () => {
@@ -56,7 +56,7 @@
 );
 type Fault = typeof fault extends fc.Arbitrary<infer T> ? T : never;
 
-function play(net: RaftNet, step: Fault, at: number): void {
+function applyStep(net: RaftNet, step: Fault, at: number): void {
   const flights = net.flights.length;
   const actions: {[T in Fault['do']]: (step: Extract<Fault, {do: T}>) => void} =
     {
@@ -78,8 +78,8 @@
   actions[step.do](step as never);
 }
 
-describe('agreement', () => {
-  test('one leader a term, committed entries stay, logs match, and it recovers once faults end', () => {
+describe('Raft under message loss, partitions and crashes', () => {
+  test('has one leader per term, keeps committed entries, has matching logs and recovers after the faults', () => {
     fc.assert(
       fc.property(
         fc.array(fault, {minLength: 50, maxLength: 250}),
@@ -87,8 +87,8 @@
         (steps, seed) => {
           const net = RaftNet.create(NODES, createRandom(seed));
           net.settle();
-          // RaftNet throws on a second leader of a term or a changed committed entry.
-          steps.forEach((step, at) => play(net, step, at));
+          // RaftNet throws if a term has two leaders or a committed entry changes.
+          steps.forEach((step, at) => applyStep(net, step, at));
 
           expect(net.settle()).toBe(true);
           const logs = NODES.map(name => net.get(name).node.listEntries());
@@ -105,7 +105,7 @@
     );
   });
 
-  test('a leader that hears no quorum loses its lease before another can be elected', () => {
+  test('a leader without contact to a quorum loses its lease before another one is elected', () => {
     const net = RaftNet.create(NODES, createRandom(1));
     net.settle();
     const [leader] = [...net.leaders.entries()]
@@ -124,10 +124,10 @@
         NODES.forEach(name => net.sync(name));
       }
       const hasLease = net.get(leader).node.hasLease(net.now);
-      const isOtherLed = NODES.some(
+      const isOtherLeader = NODES.some(
         name => name !== leader && net.get(name).node.role === 'leader',
       );
-      expect(hasLease && isOtherLed).toBe(false);
+      expect(hasLease && isOtherLeader).toBe(false);
       wasLeased = hasLease;
     }
     expect(wasLeased).toBe(false);
@@ -135,15 +135,15 @@
     expect([...net.leaders.values()].some(name => name !== leader)).toBe(true);
   });
 
-  test('a node that was cut off for long does not raise the term when it returns', () => {
+  test('a node that was partitioned for a long time does not raise the term when it reconnects', () => {
     const net = RaftNet.create(NODES, createRandom(2));
     net.settle();
     const term = Math.max(...net.leaders.keys());
     const leader = net.leaders.get(term) ?? '';
-    const cutOff = NODES.find(name => name !== leader) ?? '';
+    const partitioned = NODES.find(name => name !== leader) ?? '';
     for (const other of NODES) {
-      net.cut(cutOff, other);
-      net.cut(other, cutOff);
+      net.cut(partitioned, other);
+      net.cut(other, partitioned);
     }
     for (let round = 0; round < 100; round += 1) {
       net.tick(40);
@@ -159,16 +159,16 @@
   });
 });
 
-test('an entry of an earlier term is not committed by counting copies, only behind one of the own term', () => {
+test('an entry of an earlier term is committed only together with an entry of the current term', () => {
   const voters = new Map(NODES.map(name => [name, name]));
-  const old = {
+  const earlierEntry = {
     index: 1,
     term: 1,
     command: {type: 'start-term' as const, time: 1},
   };
   const leader = RaftNode.create({
     identity: 'a',
-    log: RaftLog.create({index: 0, term: 0, voters}, [old]),
+    log: RaftLog.create({index: 0, term: 0, voters}, [earlierEntry]),
     term: 2,
     votedFor: undefined,
     commitIndex: 0,
@@ -195,9 +195,9 @@
   expect(
     leader.step(from({...answer, matchIndex: 1}), 404).committedEntries,
   ).toEqual([]);
-  const both = leader.step(
+  const bothEntries = leader.step(
     from({...answer, matchIndex: 2}),
     405,
   ).committedEntries;
-  expect(both.map(entry => entry.index)).toEqual([1, 2]);
+  expect(bothEntries.map(entry => entry.index)).toEqual([1, 2]);
 });
--- a/test/coordination/raft_restart.test.ts
+++ b/test/coordination/raft_restart.test.ts
@@ -1,7 +1,7 @@
 /**
- * Load: all control processes are killed at the same moment and start again.
- * Counting the silence of the leader from when a node was created, and not from
- * when its process began, made callers wait for as long as the start had taken.
+ * Restart of all control processes at the same time. Guards against an election
+ * timeout that counts from the creation of the Raft node instead of the start of its
+ * process, which lengthened the time without a leader by the duration of the startup.
  */
 import {expect, test} from 'vitest';
 import {defaultRaftTiming} from '../../src/coordination/agreement/default_raft_timing';
@@ -41,7 +41,7 @@
   return answer?.type === 'vote-answer' && answer.isGranted;
 }
 
-test('a node stands for election by the time that its process has run', () => {
+test('the election timeout counts from the start of the process', () => {
   const node = createNode(STARTED_AT + 400, STARTED_AT);
   node.step({type: 'tick'}, STARTED_AT + electionMs - 1);
   expect(node.role).toBe('follower');
@@ -49,19 +49,19 @@
   expect(node.role).toBe('pre-candidate');
 });
 
-test('a node that started long before its log was read stands at once', () => {
+test('a node starts an election at once if its process started long before', () => {
   const node = createNode(STARTED_AT + 5_000, STARTED_AT);
   node.step({type: 'tick'}, STARTED_AT + 5_000);
   expect(node.role).toBe('pre-candidate');
 });
 
-test('a node gives no vote before the leader of its last life has lost its lease', () => {
+test('a restarted node grants no vote before the lease of the previous leader has expired', () => {
   const node = createNode(STARTED_AT + 400, STARTED_AT);
   expect(isGranted(node, STARTED_AT + electionMs - 1)).toBe(false);
   expect(isGranted(node, STARTED_AT + electionMs)).toBe(true);
 });
 
-test('a node that is not told when its process began counts from its creation', () => {
+test('without the start time of the process, the timeout counts from the creation of the node', () => {
   const node = createNode(STARTED_AT);
   expect(isGranted(node, STARTED_AT + electionMs - 1)).toBe(false);
   expect(isGranted(node, STARTED_AT + electionMs)).toBe(true);
--- a/test/coordination/raft_voters.test.ts
+++ b/test/coordination/raft_voters.test.ts
@@ -18,8 +18,8 @@
   return {index, term: 1, command};
 }
 
-/** A node of a quorum that grew from three to five, just started again. */
-function restart(knownCommitted: number | undefined): RaftNode {
+/** Creates a restarted node of a quorum that grew from three voters to five. */
+function createRestartedNode(knownCommitted: number | undefined): RaftNode {
   const voters = new Map(FOUNDERS.map(name => [name, `${name}/1`]));
   const entries = [setVoter(1, 'd'), setVoter(2, 'e')];
   return RaftNode.create({
@@ -36,13 +36,13 @@
   });
 }
 
-/** Lets the node stand for election and answers as these voters. */
+/** Lets the node start an election in which these voters grant their votes. */
 function elect(node: RaftNode, granting: readonly string[]): string {
   node.step({type: 'tick'}, 1_000);
-  for (const awaited of ['pre-candidate', 'candidate']) {
+  for (const expectedRole of ['pre-candidate', 'candidate']) {
     for (const from of granting) {
-      if (node.role === awaited) {
-        const isPreVote = awaited === 'pre-candidate';
+      if (node.role === expectedRole) {
+        const isPreVote = expectedRole === 'pre-candidate';
         const vote = {term: 2, isGranted: true, isPreVote};
         const message = {type: 'vote-answer' as const, ...vote};
         node.step({type: 'message', from, message}, 1_000);
@@ -52,16 +52,18 @@
   return node.role;
 }
 
-describe('a quorum that grew', () => {
-  test('elects with three of five after two founders lost their disks', () => {
-    expect(elect(restart(2), ['d/1', 'e/1'])).toBe('leader');
+describe('a quorum that grew from three voters to five', () => {
+  test('elects a leader with three of five voters after two founders lost their disks', () => {
+    expect(elect(createRestartedNode(2), ['d/1', 'e/1'])).toBe('leader');
   });
 
-  test('still asks the founders while the growth may not be committed', () => {
-    expect(elect(restart(undefined), ['d/1', 'e/1'])).toBe('pre-candidate');
+  test('still needs a majority of the founders while the new voters may not be committed', () => {
+    expect(elect(createRestartedNode(undefined), ['d/1', 'e/1'])).toBe(
+      'pre-candidate',
+    );
   });
 
-  test('lets one voter go in the step in which another comes', () => {
+  test('replaces one voter by another in a single step', () => {
     const voters = new Map(FOUNDERS.map(name => [name, `${name}/1`]));
     const log = RaftLog.create({index: 0, term: 0, voters}, [
       setVoter(1, 'd', 'b'),
@@ -72,81 +74,81 @@
   });
 });
 
-describe('the next change of voters', () => {
+describe('decideVoterChange', () => {
   const voters = new Map([
     ['a', 'a/1'],
     ['b', 'b/1'],
     ['c', 'c/1'],
   ]);
-  const nobody = () => false;
+  const allResponsive = () => false;
 
-  test('is nothing while nobody asks', () => {
-    const situation = {
+  test('changes nothing without candidates', () => {
+    const input = {
       voters,
       candidates: [],
       target: 5,
-      isUnresponsive: nobody,
+      isUnresponsive: allResponsive,
     };
-    expect(decideVoterChange(situation)).toBeUndefined();
+    expect(decideVoterChange(input)).toBeUndefined();
   });
 
-  test('takes in one more until the quorum has its size', () => {
-    const situation = {
+  test('adds one voter at a time until the quorum has its target size', () => {
+    const input = {
       voters,
       candidates: ['a/1', 'd/7', 'e/8'],
       target: 5,
-      isUnresponsive: nobody,
+      isUnresponsive: allResponsive,
     };
-    expect(decideVoterChange(situation)).toEqual({name: 'd', identity: 'd/7'});
+    expect(decideVoterChange(input)).toEqual({name: 'd', identity: 'd/7'});
   });
 
-  test('gives the place of a silent voter to one that waits', () => {
-    const situation = {
+  test('replaces an unresponsive voter by a candidate', () => {
+    const input = {
       voters,
       candidates: ['d/7'],
       target: 3,
       isUnresponsive: (identity: string) => identity === 'b/1',
     };
-    expect(decideVoterChange(situation)).toEqual({
+    expect(decideVoterChange(input)).toEqual({
       name: 'd',
       identity: 'd/7',
       replaces: 'b',
     });
   });
 
-  test('lets one that waits go on waiting while every voter is heard', () => {
-    const situation = {
+  test('does not add a candidate to a full quorum while every voter responds', () => {
+    const input = {
       voters,
       candidates: ['d/7'],
       target: 3,
-      isUnresponsive: nobody,
+      isUnresponsive: allResponsive,
     };
-    expect(decideVoterChange(situation)).toBeUndefined();
+    expect(decideVoterChange(input)).toBeUndefined();
   });
 
-  test('puts a new disk in the place of the lost one before anything else', () => {
-    const situation = {
+  test('gives priority to a voter that returned with a new disk', () => {
+    const input = {
       voters,
       candidates: ['d/7', 'b/2'],
       target: 5,
       isUnresponsive: (identity: string) => identity === 'b/1',
     };
-    expect(decideVoterChange(situation)).toEqual({name: 'b', identity: 'b/2'});
+    expect(decideVoterChange(input)).toEqual({name: 'b', identity: 'b/2'});
   });
 
-  test('never replaces a disk whose old self still answers', () => {
-    const situation = {
+  test('does not replace the disk of a voter that still responds under its old identity', () => {
+    const input = {
       voters,
       candidates: ['b/2'],
       target: 3,
-      isUnresponsive: nobody,
+      isUnresponsive: allResponsive,
     };
-    expect(decideVoterChange(situation)).toBeUndefined();
+    expect(decideVoterChange(input)).toBeUndefined();
   });
 });
 
-describe('entries that hold large bundles', () => {
-  test('go to a follower in several messages, none larger than needed', () => {
+describe('log entries with large bundles', () => {
+  test('are sent to a follower in several messages of limited size', () => {
     const voters = new Map([
       ['a', 'a/1'],
       ['b', 'b/1'],
--- a/test/coordination/strangers.test.ts
+++ b/test/coordination/unknown_voter.test.ts
@@ -3,13 +3,12 @@
 import {createRandom} from '../support/create_random';
 import {RaftNet} from '../support/raft_net';
 
-// A voter was replaced while another voter lagged behind. Then all lost power, and
-// two disks were lost: as many as are to be borne. The one process that held the
-// newest acknowledged entry was the replacement, and the voter that had lagged
-// refused it for good with "the asker is no voter here", since the change had not
-// reached its log. In 59 s of virtual time no leader came, and the entry was lost.
-// A vote is given by term, vote and log alone: who the voters are stands in the log
-// of the one that asks.
+// Guards against refusing a vote because the candidate is not a voter in the log of
+// the node that is asked. A voter was replaced while another one lagged behind; then
+// all lost power and two disks were lost, which the quorum must tolerate. Only the
+// replacement had the newest acknowledged entry, and the lagging voter refused it
+// permanently ("the asker is no voter here"): no leader in 59 s of virtual time, and
+// the entry was lost. Votes depend on term, vote and log alone.
 
 const FOUNDERS = ['a', 'b', 'c', 'd', 'e'];
 
@@ -32,15 +31,15 @@
   command: {type: 'start-term', time: 7},
 };
 
-/** What is left of the quorum: c holds the change, d lags, the newcomer holds all. */
-function createSurvivors(change: LogEntry, newcomer: string): RaftNet {
+/** The remaining voters: c has the voter change, d lags behind, the replacement has all entries. */
+function createSurvivors(change: LogEntry, replacement: string): RaftNet {
   const net = RaftNet.create(FOUNDERS, createRandom(1));
   FOUNDERS.forEach(identity => net.crash(identity));
   const vote = {term: 1, votedFor: undefined};
   net.place('c', {...vote, entries: [change]});
   net.place('d', {...vote, entries: []});
   const entries = [change, ACKNOWLEDGED];
-  net.place(newcomer, {...vote, entries, commitIndex: 1});
+  net.place(replacement, {...vote, entries, commitIndex: 1});
   return net;
 }
 
@@ -51,8 +50,8 @@
   });
 }
 
-describe('a voter that another one has not heard of', () => {
-  test('is elected after two disks were lost', () => {
+describe('a voter that is missing in the log of another voter', () => {
+  test('is elected after the loss of two disks', () => {
     const net = createSurvivors(replaceVoter('e', 'f/1'), 'f/1');
     net.run(10_000);
 
@@ -60,7 +59,7 @@
     expect(net.committed.get(2)).toBe(JSON.stringify(ACKNOWLEDGED));
   });
 
-  test('is elected under its old name with its new disk', () => {
+  test('is elected under its previous name with a new disk', () => {
     const net = createSurvivors(replaceVoter('e', 'e/2'), 'e/2');
     net.run(10_000);
 
@@ -68,14 +67,14 @@
     expect(net.committed.get(2)).toBe(JSON.stringify(ACKNOWLEDGED));
   });
 
-  test('does not disturb a leader that is heard', () => {
+  test('does not disturb a live leader', () => {
     const net = RaftNet.create(FOUNDERS, createRandom(2));
     net.run(2_000);
     const [leader] = listLeaders(net);
     const {term} = net.get(leader).node;
-    const stranger = {term: 1, votedFor: undefined};
+    const vote = {term: 1, votedFor: undefined};
     const change = replaceVoter('e', 'f/1');
-    net.place('f/1', {...stranger, entries: [change]});
+    net.place('f/1', {...vote, entries: [change]});
     net.run(5_000);
 
     expect(listLeaders(net)).toEqual([leader]);
