--- a/src/control/control_connections.ts
+++ b/src/control/control_connections.ts
@@ -71,7 +71,9 @@
 
   /** Returns the identities of the connected processes. */
   listIdentities(): string[] {
-    return [...this.connections.values()].map(({peer}) => peer.remote.id);
+    return [...this.connections.values()].map(
+      connection => connection.peer.remote.id,
+    );
   }
 
   /** Returns when the process with this identity last sent a message; undefined if it never did. */
--- a/src/control/decide_initial_voters.ts
+++ b/src/control/decide_initial_voters.ts
@@ -29,7 +29,9 @@
   otherNames: readonly string[] | undefined,
   responses: ReadonlyMap<string, FormationResponse>,
 ): Record<string, string> | undefined {
-  const existing = [...responses.values()].find(({voters}) => voters !== null);
+  const existing = [...responses.values()].find(
+    response => response.voters !== null,
+  );
   if (existing?.voters) {
     return existing.voters;
   }
