--- a/src/coordination/limits/permit_request_pacer.ts
+++ b/src/coordination/limits/permit_request_pacer.ts
@@ -16,7 +16,7 @@
   private nextRequestAt = -Infinity;
   private intervalMs = NO_RESPONSE_PAUSE_MS;
   /** Retry time that was given to the last refused caller. */
-  private lastRetryAt = -Infinity;
+  private retryAt = -Infinity;
   private isRequestPending = false;
 
   private constructor() {}
@@ -49,13 +49,11 @@
 
   /** Returns the milliseconds after which a refused caller should retry, behind those refused before it. */
   computeRetryAfterMs(now: number): number {
-    return (
-      Math.max(this.nextRequestAt, this.lastRetryAt + this.intervalMs) - now
-    );
+    return Math.max(this.nextRequestAt, this.retryAt + this.intervalMs) - now;
   }
 
   /** Records that a caller was told to retry after this time. */
   recordRetryAfter(retryAfterMs: number, now: number): void {
-    this.lastRetryAt = now + retryAfterMs;
+    this.retryAt = now + retryAfterMs;
   }
 }
