--- a/src/control/create_status.ts
+++ b/src/control/create_status.ts
@@ -32,7 +32,7 @@
     leader: identity,
     term: raft.term,
     commitIndex: raft.commitIndex,
-    voters: [identity, ...raft.peers].map(voter => ({
+    voters: [identity, ...raft.others].map(voter => ({
       identity: voter,
       isReachable: voter === identity || reachable.includes(voter),
       isCaughtUp: raft.isCaughtUp(voter),
--- a/src/control/quorum_manager.ts
+++ b/src/control/quorum_manager.ts
@@ -84,7 +84,7 @@
    * seeds were lost.
    */
   connectVoters(): void {
-    const peers = this.options.findRuntime()?.raft.peers ?? [];
+    const peers = this.options.findRuntime()?.raft.others ?? [];
     this.addConnections(peers.map(identity => splitIdentity(identity).name));
   }
 
--- a/src/control/raft_runtime.ts
+++ b/src/control/raft_runtime.ts
@@ -139,7 +139,7 @@
     | 'role'
     | 'term'
     | 'leader'
-    | 'peers'
+    | 'others'
     | 'commitIndex'
     | 'findVoter'
     | 'listVotersAt'
--- a/src/coordination/agreement/raft_node.ts
+++ b/src/coordination/agreement/raft_node.ts
@@ -72,7 +72,7 @@
   }
 
   /** Identities of the other voters. */
-  get peers(): string[] {
+  get others(): string[] {
     return this.state.peers;
   }
 
--- a/test/simulation/describe_machine.ts
+++ b/test/simulation/describe_machine.ts
@@ -10,7 +10,7 @@
   if (!runtime) {
     return `${name}: ${station ? 'knows no quorum' : 'does not run'}`;
   }
-  const {role, term, commitIndex, peers: others} = runtime.raft;
+  const {role, term, commitIndex, others} = runtime.raft;
   const voters = others.map(other => splitIdentity(other).name).join(' ');
   return `${station?.identity}: ${role} of term ${term}, committed ${commitIndex}, with ${voters}`;
 }
