--- a/src/control/backend_health.ts
+++ b/src/control/backend_failure_detector.ts
@@ -4,7 +4,7 @@
 import {EngineGroup} from '../protocol/engine_group';
 import {BackendRegistry} from './backend_registry';
 import {ControlSettings} from './control_settings';
-import {GatewayDesk} from './gateway_desk';
+import {GatewayService} from './gateway_service';
 
 /** Registration intervals without a word after which the leader asks itself. */
 const DOUBT_INTERVALS = 2;
@@ -47,11 +47,11 @@
   readonly clock: Clock;
   readonly registry: BackendRegistry;
   readonly events: EventRing;
-  readonly desk: Pick<GatewayDesk, 'isStalled' | 'findHeardAt'>;
+  readonly desk: Pick<GatewayService, 'isStalled' | 'findHeardAt'>;
 }
 
 /** Judges by silence, by the gateways' word and by asking. */
-export class BackendHealth {
+export class BackendFailureDetector {
   private readonly doubts = new Map<string, Doubt>();
 
   private constructor(private readonly options: BackendHealthOptions) {}
@@ -62,8 +62,8 @@
    * @example
    * const health = BackendHealth.create({duties, clock, registry, desk});
    */
-  static create(options: BackendHealthOptions): BackendHealth {
-    return new BackendHealth(options);
+  static create(options: BackendHealthOptions): BackendFailureDetector {
+    return new BackendFailureDetector(options);
   }
 
   /** Forgets every doubt: another process led meanwhile. */
--- a/src/control/backend_registry.ts
+++ b/src/control/backend_registry.ts
@@ -1,7 +1,7 @@
 /** What the leader has heard from backend servers lately; never replicated. */
 import {BackendView} from '../coordination/groups/backend_view';
 import {BackendRegistration} from '../protocol/backend_registration';
-import {ValueIndex} from './value_index';
+import {SecondaryIndex} from './secondary_index';
 
 /** Silence after which a backend server is forgotten: it said no goodbye. */
 const FORGET_AFTER_MS = 30_000;
@@ -26,8 +26,8 @@
 export class BackendRegistry {
   private readonly views = new Map<string, BackendView>();
   /** Incarnations of the views, by address and by name: a call looks at few others. */
-  private readonly byAddress = ValueIndex.create();
-  private readonly byName = ValueIndex.create();
+  private readonly byAddress = SecondaryIndex.create();
+  private readonly byName = SecondaryIndex.create();
   /** Views that told when they started. */
   private startsTold = 0;
   /** Starts whose address another one has taken. */
--- a/src/control/check_copies.ts
+++ b/src/control/check_durability.ts
@@ -22,7 +22,11 @@
  * @example
  * checkCopies({settings, runtime, clock});
  */
-export function checkCopies({settings, runtime, clock}: CopiesSituation): void {
+export function checkDurability({
+  settings,
+  runtime,
+  clock,
+}: CopiesSituation): void {
   const {raft} = runtime;
   const voters = raft.listVotersAt(raft.commitIndex).size;
   const {voters: wanted = 1, minCopies = 1} = settings.seeded ?? {};
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -12,21 +12,21 @@
 import {ControlDisk} from '../state/control_disk';
 import {FrameConnection} from '../transport/frame_connection';
 import {FrameServer} from '../transport/frame_server';
-import {createCallHandlers} from './call_handlers';
+import {createCallHandlers} from './create_call_handlers';
 import {BackendRegistry} from './backend_registry';
 import {ChangeSignal} from './change_signal';
 import {ControlError} from './control_error';
 import {ControlLinks} from './control_links';
 import {ControlLog} from './control_log';
 import {ControlSettings} from './control_settings';
-import {createStatus} from './create_status';
+import {createFleetStatus} from './create_fleet_status';
 import {Fleet} from './fleet';
-import {EnginePlannerLoop} from './engine_planner_loop';
-import {GatewayDesk} from './gateway_desk';
-import {PlannerLoop} from './planner_loop';
+import {EngineGroupPlannerLoop} from './engine_group_planner_loop';
+import {GatewayService} from './gateway_service';
+import {HostGroupPlannerLoop} from './host_group_planner_loop';
 import {QuorumMember} from './quorum_member';
 import {RaftRuntime} from './raft_runtime';
-import {SuspectDesk} from './suspect_desk';
+import {SuspectService} from './suspect_service';
 
 type Handlers = ReturnType<typeof createCallHandlers>;
 type Reply = (message: Message) => void;
@@ -45,9 +45,9 @@
   private server: FrameServer | undefined;
   private links: ControlLinks | undefined;
   private member: QuorumMember | undefined;
-  private enginePlanner: EnginePlannerLoop | undefined;
+  private enginePlanner: EngineGroupPlannerLoop | undefined;
   private readonly registry: BackendRegistry;
-  private planner: PlannerLoop | undefined;
+  private planner: HostGroupPlannerLoop | undefined;
   private handlers: Handlers | undefined;
 
   private constructor(
@@ -263,9 +263,13 @@
       this.registry.clear();
       this.record(`became-${role}`, reason);
     });
-    const planner = PlannerLoop.create({runtime, fleet, clock: systemClock});
+    const planner = HostGroupPlannerLoop.create({
+      runtime,
+      fleet,
+      clock: systemClock,
+    });
     this.planner = planner;
-    const desk = GatewayDesk.create({
+    const desk = GatewayService.create({
       settings,
       runtime,
       registry: this.registry,
@@ -275,7 +279,7 @@
       identity: disk.identity,
     });
     if (settings.pools) {
-      this.enginePlanner = EnginePlannerLoop.create({
+      this.enginePlanner = EngineGroupPlannerLoop.create({
         duties: settings.pools,
         runtime,
         registry: this.registry,
@@ -286,7 +290,7 @@
     }
     this.handlers = createCallHandlers({
       desk,
-      suspects: SuspectDesk.create({
+      suspects: SuspectService.create({
         runtime,
         events: this.events,
         registry: this.registry,
@@ -300,7 +304,7 @@
       leaseMs: settings.leaseMs,
       findStandby: hostId => planner.findStandby(hostId),
       createStatus: () =>
-        createStatus({
+        createFleetStatus({
           identity: disk.identity,
           runtime,
           fleet,
--- a/src/control/call_handlers.ts
+++ b/src/control/create_call_handlers.ts
@@ -13,9 +13,9 @@
 import {ChangeSignal} from './change_signal';
 import {ControlError} from './control_error';
 import {Fleet} from './fleet';
-import {GatewayDesk} from './gateway_desk';
+import {GatewayService} from './gateway_service';
 import {RaftRuntime} from './raft_runtime';
-import {SuspectDesk} from './suspect_desk';
+import {SuspectService} from './suspect_service';
 
 /** How long an operator's order may travel. */
 const MAX_ORDER_AGE_MS = 60_000;
@@ -34,8 +34,8 @@
   | 'drain-ask'
   | 'leader-ask'
   | 'lift-ask'
-  | keyof SuspectDesk['handlers']
-  | keyof GatewayDesk['handlers'];
+  | keyof SuspectService['handlers']
+  | keyof GatewayService['handlers'];
 type Handlers = {
   [T in Asks]: (
     ask: MessageOf<ControlMessage, T>,
@@ -44,8 +44,8 @@
 
 /** What the handlers work on. */
 interface CallContext {
-  readonly desk: GatewayDesk;
-  readonly suspects: SuspectDesk;
+  readonly desk: GatewayService;
+  readonly suspects: SuspectService;
   readonly runtime: RaftRuntime;
   readonly fleet: Fleet;
   readonly clock: Clock;
--- a/src/control/create_status.ts
+++ b/src/control/create_fleet_status.ts
@@ -19,7 +19,7 @@
  * @example
  * const status = createStatus({identity, runtime, fleet, reachable, now: clock.now()});
  */
-export function createStatus(input: StatusInput): FleetStatus {
+export function createFleetStatus(input: StatusInput): FleetStatus {
   const {identity, runtime, fleet, reachable, now} = input;
   const {state, raft} = runtime;
   const hosts = fleet.listHosts(now, hostId => state.isDrained(hostId));
--- a/src/control/encoded_rules.ts
+++ b/src/control/encoded_rules_cache.ts
@@ -5,7 +5,7 @@
  * Keeps the newest rules encoded. Encoded for each of 36 gateways, 1,400 routes held up
  * the leader for half a second after each change, and three changes cost it the lead.
  */
-export class EncodedRules {
+export class EncodedRulesCache {
   private rules: GatewayRules | undefined;
   private bytes: Uint8Array | undefined;
 
@@ -17,8 +17,8 @@
    * @example
    * const bytes = EncodedRules.create().read(rules);
    */
-  static create(): EncodedRules {
-    return new EncodedRules();
+  static create(): EncodedRulesCache {
+    return new EncodedRulesCache();
   }
 
   /** The rules as bytes, encoded at the first call with them. */
--- a/src/control/engine_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -12,11 +12,11 @@
 import {EngineGroup} from '../protocol/engine_group';
 import {listMemberNames} from '../protocol/list_member_names';
 import {GatewayRules} from '../protocol/gateway_rules';
-import {BackendHealth} from './backend_health';
+import {BackendFailureDetector} from './backend_failure_detector';
 import {BackendRegistry} from './backend_registry';
 import {ControlSettings} from './control_settings';
-import {GatewayDesk} from './gateway_desk';
-import {HeadRelease} from './head_release';
+import {GatewayService} from './gateway_service';
+import {HeadStopDetector} from './head_stop_detector';
 import {OrderDispatcher} from './order_dispatcher';
 import {RaftRuntime} from './raft_runtime';
 
@@ -39,16 +39,16 @@
   readonly duties: NonNullable<ControlSettings['pools']>;
   readonly runtime: RaftRuntime;
   readonly registry: BackendRegistry;
-  readonly desk: GatewayDesk;
+  readonly desk: GatewayService;
   readonly clock: Clock;
   readonly events: EventRing;
 }
 
 /** Plans while this process leads. */
-export class EnginePlannerLoop {
+export class EngineGroupPlannerLoop {
   private readonly timer: NodeJS.Timeout;
-  private readonly health: BackendHealth;
-  private readonly release: HeadRelease;
+  private readonly health: BackendFailureDetector;
+  private readonly release: HeadStopDetector;
   private readonly orders: OrderDispatcher;
   /** When hosts were last moved: they are not moved again at once. */
   private rebalancedAt = -Infinity;
@@ -59,14 +59,14 @@
 
   private constructor(private readonly options: EnginePlannerOptions) {
     const {duties, clock, registry, desk, events} = options;
-    this.health = BackendHealth.create({
+    this.health = BackendFailureDetector.create({
       duties,
       clock,
       registry,
       desk,
       events,
     });
-    this.release = HeadRelease.create(registry, duties.stallMs);
+    this.release = HeadStopDetector.create(registry, duties.stallMs);
     this.orders = OrderDispatcher.create(options);
     this.timer = setInterval(() => void this.run(), PLAN_EVERY_MS);
   }
@@ -77,8 +77,8 @@
    * @example
    * const planner = EnginePlannerLoop.create({duties, runtime, registry, desk, clock, events});
    */
-  static create(options: EnginePlannerOptions): EnginePlannerLoop {
-    return new EnginePlannerLoop(options);
+  static create(options: EnginePlannerOptions): EngineGroupPlannerLoop {
+    return new EngineGroupPlannerLoop(options);
   }
 
   close(): void {
--- a/src/control/gateway_desk.ts
+++ b/src/control/gateway_service.ts
@@ -9,14 +9,14 @@
 import {splitIdentity} from '../protocol/split_identity';
 import {CommandResult} from '../state/command_result';
 import {BackendRegistry} from './backend_registry';
-import {checkCopies} from './check_copies';
+import {checkDurability} from './check_durability';
 import {ChangeSignal} from './change_signal';
 import {ControlError} from './control_error';
 import {ControlSettings} from './control_settings';
-import {EncodedRules} from './encoded_rules';
-import {LimitDesk} from './limit_desk';
+import {EncodedRulesCache} from './encoded_rules_cache';
+import {RateLimitService} from './rate_limit_service';
 import {RaftRuntime} from './raft_runtime';
-import {RegistrationDesk} from './registration_desk';
+import {RegistrationService} from './registration_service';
 import {TargetTable} from './target_table';
 
 /** How long a gateway's question is held while there is nothing new to tell. */
@@ -52,7 +52,7 @@
 }
 
 /** Answers calls; the caller makes sure that this process leads. */
-export class GatewayDesk {
+export class GatewayService {
   private readonly gateways = new Map<string, GatewayWord>();
   /** When a gateway last said so, by incarnation. */
   private readonly stalledAt = new Map<string, number>();
@@ -66,10 +66,10 @@
   private readonly underWay: Array<
     ChannelBundle & {readonly written: Promise<CommandResult>}
   > = [];
-  private readonly registrations: RegistrationDesk;
+  private readonly registrations: RegistrationService;
   private readonly table: TargetTable;
-  private readonly limits: LimitDesk;
-  private readonly encodedRules = EncodedRules.create();
+  private readonly limits: RateLimitService;
+  private readonly encodedRules = EncodedRulesCache.create();
   /** Requests of all gateways, by incarnation. */
   private readonly running = new Map<string, number>();
   private readonly joinedChanges = ChangeSignal.create();
@@ -80,9 +80,9 @@
     const leaderName = splitIdentity(identity).name;
     this.table = TargetTable.create({registry, runtime, leaderName});
     const announce = () => this.announce();
-    this.limits = LimitDesk.create({...options, leaderName, announce});
+    this.limits = RateLimitService.create({...options, leaderName, announce});
     signal.subscribe(() => this.joinChanges());
-    this.registrations = RegistrationDesk.create({...options, announce});
+    this.registrations = RegistrationService.create({...options, announce});
     this.handlers = {...this.createHandlers(), ...this.limits.handlers};
   }
 
@@ -92,8 +92,8 @@
    * @example
    * const desk = GatewayDesk.create({settings, runtime, registry, clock, signal, identity});
    */
-  static create(options: GatewayDeskOptions): GatewayDesk {
-    return new GatewayDesk(options);
+  static create(options: GatewayDeskOptions): GatewayService {
+    return new GatewayService(options);
   }
 
   /** True once a gateway took a caller's request. */
@@ -190,7 +190,7 @@
     if (known) {
       return (await known.written).reason;
     }
-    checkCopies(this.options);
+    checkDurability(this.options);
     const command = {
       type: 'accept-channel-bundle' as const,
       time: Date.now(),
--- a/src/control/head_release.ts
+++ b/src/control/head_stop_detector.ts
@@ -10,7 +10,7 @@
  * every control process, so that a new leader need not start to count anew; a
  * process that learns of the mark late counts from then, which is safe.
  */
-export class HeadRelease {
+export class HeadStopDetector {
   private readonly releasedAt = new Map<string, number>();
 
   private constructor(
@@ -25,8 +25,8 @@
    * @example
    * const release = HeadRelease.create(registry, 5000);
    */
-  static create(registry: BackendRegistry, stallMs: number): HeadRelease {
-    return new HeadRelease(registry, stallMs);
+  static create(registry: BackendRegistry, stallMs: number): HeadStopDetector {
+    return new HeadStopDetector(registry, stallMs);
   }
 
   /** Looks which groups are marked. */
--- a/src/control/planner_loop.ts
+++ b/src/control/host_group_planner_loop.ts
@@ -17,7 +17,7 @@
 }
 
 /** Plans while this process leads. */
-export class PlannerLoop {
+export class HostGroupPlannerLoop {
   private readonly timer: NodeJS.Timeout;
   private leadingSince = 0;
   private leadingTerm = -1;
@@ -34,8 +34,8 @@
    * @example
    * const planner = PlannerLoop.create({runtime, fleet, clock});
    */
-  static create(options: PlannerLoopOptions): PlannerLoop {
-    return new PlannerLoop(options);
+  static create(options: PlannerLoopOptions): HostGroupPlannerLoop {
+    return new HostGroupPlannerLoop(options);
   }
 
   /** The model that a free host should load in advance. */
--- a/src/control/order_dispatcher.ts
+++ b/src/control/order_dispatcher.ts
@@ -7,8 +7,8 @@
 import {listMemberNames} from '../protocol/list_member_names';
 import {BackendRegistry} from './backend_registry';
 import {ControlSettings} from './control_settings';
-import {GatewayDesk} from './gateway_desk';
-import {LoadAllowance} from './load_allowance';
+import {GatewayService} from './gateway_service';
+import {TokenBucket} from './token_bucket';
 import {RaftRuntime} from './raft_runtime';
 
 /** An order that was taken shows in a registration; longer silence asks again. */
@@ -58,7 +58,7 @@
   readonly duties: NonNullable<ControlSettings['pools']>;
   readonly runtime: RaftRuntime;
   readonly registry: BackendRegistry;
-  readonly desk: Pick<GatewayDesk, 'hasServed'>;
+  readonly desk: Pick<GatewayService, 'hasServed'>;
   readonly clock: Clock;
   readonly events: EventRing;
 }
@@ -74,11 +74,11 @@
   private readonly loads = new Map<string, Load>();
   /** Orders that each engine took, by what its answers said. */
   private readonly ordersTaken = new Map<string, number>();
-  private readonly allowance: LoadAllowance;
+  private readonly allowance: TokenBucket;
   private wasServing = false;
 
   private constructor(private readonly options: OrderDispatcherOptions) {
-    this.allowance = LoadAllowance.create(0, options.clock.now());
+    this.allowance = TokenBucket.create(0, options.clock.now());
   }
 
   /**
--- a/src/control/limit_desk.ts
+++ b/src/control/rate_limit_service.ts
@@ -33,7 +33,7 @@
 }
 
 /** Never replicated: gateways tell a new leader what they hold. */
-export class LimitDesk {
+export class RateLimitService {
   private readonly limits = NamedLimits.create();
   private readonly issuers = new Map<string, PermitIssuer>();
   /** Backend servers whose limit changed, oldest first. */
@@ -55,8 +55,8 @@
    * @example
    * const desk = LimitDesk.create({runtime, registry, clock, events, leaderName, announce});
    */
-  static create(options: LimitDeskOptions): LimitDesk {
-    return new LimitDesk(options);
+  static create(options: LimitDeskOptions): RateLimitService {
+    return new RateLimitService(options);
   }
 
   /** Names the table as it is now; a gateway that holds this one needs nothing. */
--- a/src/control/registration_desk.ts
+++ b/src/control/registration_service.ts
@@ -6,7 +6,7 @@
 import {ControlMessage} from '../protocol/control_message';
 import {MessageOf} from '../protocol/message_of';
 import {BackendRegistry} from './backend_registry';
-import {checkCopies} from './check_copies';
+import {checkDurability} from './check_durability';
 import {ControlError} from './control_error';
 import {ControlSettings} from './control_settings';
 import {RaftRuntime} from './raft_runtime';
@@ -30,7 +30,7 @@
 }
 
 /** Takes registrations and departures; the caller makes sure that this process leads. */
-export class RegistrationDesk {
+export class RegistrationService {
   private readonly lines: ThrottledLines;
 
   private constructor(private readonly options: RegistrationDeskOptions) {
@@ -43,8 +43,8 @@
    * @example
    * const desk = RegistrationDesk.create({settings, runtime, registry, clock, events, announce});
    */
-  static create(options: RegistrationDeskOptions): RegistrationDesk {
-    return new RegistrationDesk(options);
+  static create(options: RegistrationDeskOptions): RegistrationService {
+    return new RegistrationService(options);
   }
 
   /** Takes what a backend server says of itself, unless it cannot be one of ours. */
@@ -190,7 +190,7 @@
     if (runtime.state.engines.isRetired(incarnation)) {
       return;
     }
-    checkCopies(this.options);
+    checkDurability(this.options);
     const time = Date.now();
     await runtime.propose({type: 'retire-backend', time, incarnation, reason});
   }
--- a/src/control/value_index.ts
+++ b/src/control/secondary_index.ts
@@ -1,5 +1,5 @@
 /** Finds by a value who has it, without a look at all others. */
-export class ValueIndex {
+export class SecondaryIndex {
   private readonly holders = new Map<string, Set<string>>();
 
   private constructor() {}
@@ -11,8 +11,8 @@
    * const byAddress = ValueIndex.create();
    * byAddress.add('10.0.0.1:80', 'i1');
    */
-  static create(): ValueIndex {
-    return new ValueIndex();
+  static create(): SecondaryIndex {
+    return new SecondaryIndex();
   }
 
   /** Notes that `key` has this value; none is not noted. */
--- a/src/control/suspect_desk.ts
+++ b/src/control/suspect_service.ts
@@ -28,7 +28,7 @@
 }
 
 /** Answers calls; the caller makes sure that this process leads. */
-export class SuspectDesk {
+export class SuspectService {
   private constructor(private readonly options: SuspectDeskOptions) {}
 
   /**
@@ -37,8 +37,8 @@
    * @example
    * const desk = SuspectDesk.create({runtime, events, registry, clock});
    */
-  static create(options: SuspectDeskOptions): SuspectDesk {
-    return new SuspectDesk(options);
+  static create(options: SuspectDeskOptions): SuspectService {
+    return new SuspectService(options);
   }
 
   readonly handlers = {
--- a/src/control/load_allowance.ts
+++ b/src/control/token_bucket.ts
@@ -1,5 +1,5 @@
 /** How many loads of weights may begin: a bucket that fills with time. */
-export class LoadAllowance {
+export class TokenBucket {
   private tokens: number;
   private filledAt: number;
 
@@ -18,8 +18,8 @@
    * @example
    * const allowance = LoadAllowance.create(3, clock.now());
    */
-  static create(perSecond: number, now: number): LoadAllowance {
-    return new LoadAllowance(perSecond, 0, now);
+  static create(perSecond: number, now: number): TokenBucket {
+    return new TokenBucket(perSecond, 0, now);
   }
 
   /** Begins anew with nothing saved up. */
--- a/test/control/backend_registry.test.ts
+++ b/test/control/backend_registry.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 import {BackendRegistry} from '../../src/control/backend_registry';
-import {HeadRelease} from '../../src/control/head_release';
+import {HeadStopDetector} from '../../src/control/head_stop_detector';
 import {group, host} from '../support/engine_plan';
 
 const HEARTBEAT_MS = 1_000;
@@ -112,7 +112,7 @@
     const {registry, call} = create();
     call('head', 30, 0);
     call('before', 20, 500);
-    const release = HeadRelease.create(registry, STALL_MS);
+    const release = HeadStopDetector.create(registry, STALL_MS);
     const ended = {...group(['head', 'b']), isEnding: true};
     const [, member] = ended.members;
     const members = [{incarnation: 'head', address: 'a:1'}, member];
--- a/test/control/backend_starts.test.ts
+++ b/test/control/backend_restarts.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 import {BackendRegistry} from '../../src/control/backend_registry';
-import {HeadRelease} from '../../src/control/head_release';
+import {HeadStopDetector} from '../../src/control/head_stop_detector';
 import {group, host} from '../support/engine_plan';
 
 const HEARTBEAT_MS = 1_000;
@@ -70,7 +70,7 @@
     const ended = {...group(['n@1000', 'b']), isEnding: true};
     const [, member] = ended.members;
     const head = {incarnation: 'n@1000', name: 'n', address: 'a:1'};
-    const release = HeadRelease.create(registry, STALL_MS);
+    const release = HeadStopDetector.create(registry, STALL_MS);
     const held = {...ended, members: [head, member]};
     expect(release.isLetGo(held, 100)).toBe(false);
 
--- a/test/control/engine_orders.test.ts
+++ b/test/control/engine_orders.test.ts
@@ -1,10 +1,10 @@
 import {describe, expect, test} from 'vitest';
 import {Clock} from '../../src/common/clock';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendHealth} from '../../src/control/backend_health';
+import {BackendFailureDetector} from '../../src/control/backend_failure_detector';
 import {BackendRegistry} from '../../src/control/backend_registry';
-import {HeadRelease} from '../../src/control/head_release';
-import {LoadAllowance} from '../../src/control/load_allowance';
+import {HeadStopDetector} from '../../src/control/head_stop_detector';
+import {TokenBucket} from '../../src/control/token_bucket';
 import {OrderDispatcher} from '../../src/control/order_dispatcher';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {EngineAction} from '../../src/coordination/groups/engine_action';
@@ -39,7 +39,7 @@
 
 describe('the allowance of loads', () => {
   test('never lets more begin than the limit and one bucket', () => {
-    const allowance = LoadAllowance.create(3, 0);
+    const allowance = TokenBucket.create(3, 0);
     let taken = 0;
     for (let now = 0; now <= 5_000; now += 10) {
       taken += allowance.take(3, now) ? 1 : 0;
@@ -48,7 +48,7 @@
   });
 
   test('is empty for a new leader, however long nothing was loaded', () => {
-    const allowance = LoadAllowance.create(3, 0);
+    const allowance = TokenBucket.create(3, 0);
     allowance.clear(60_000);
     expect(allowance.take(3, 60_000)).toBe(false);
   });
@@ -212,7 +212,7 @@
         return Promise.resolve(answering.has(address));
       },
     };
-    const health = BackendHealth.create({
+    const health = BackendFailureDetector.create({
       duties: {heartbeatMs: HEARTBEAT_MS, stallMs: STALL_MS, orders},
       clock,
       registry,
@@ -291,7 +291,7 @@
 
   test('counts on nobody once the time is over that a stalled group has', () => {
     const clock = new HandClock();
-    const release = HeadRelease.create(createRegistry(clock), STALL_MS);
+    const release = HeadStopDetector.create(createRegistry(clock), STALL_MS);
     release.refresh([ended], 0);
     expect(release.isLetGo(ended, STALL_MS)).toBe(false);
     expect(release.isLetGo(ended, STALL_MS + 501)).toBe(true);
@@ -300,7 +300,10 @@
   test('holds its members as long as none of them has left', () => {
     const clock = new HandClock();
     const views = [host('b', told('ready', 1))];
-    const release = HeadRelease.create(createRegistry(clock, views), STALL_MS);
+    const release = HeadStopDetector.create(
+      createRegistry(clock, views),
+      STALL_MS,
+    );
     const held = group(['a', 'b'], {isEnding: true});
     release.refresh([held], 0);
     expect(release.hasLeaver(held)).toBe(false);
@@ -310,7 +313,10 @@
   test('is gone when another start has its address', () => {
     const clock = new HandClock();
     const views = [host('z', {address: 'a:1'})];
-    const release = HeadRelease.create(createRegistry(clock, views), STALL_MS);
+    const release = HeadStopDetector.create(
+      createRegistry(clock, views),
+      STALL_MS,
+    );
     expect(release.isLetGo(group(['a', 'b']), 0)).toBe(true);
   });
 });
--- a/test/control/gateway_desk.test.ts
+++ b/test/control/gateway_service.test.ts
@@ -7,7 +7,7 @@
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {ChangeSignal} from '../../src/control/change_signal';
 import {ControlSettings} from '../../src/control/control_settings';
-import {GatewayDesk} from '../../src/control/gateway_desk';
+import {GatewayService} from '../../src/control/gateway_service';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {ControlMessage} from '../../src/protocol/control_message';
 import {MessageOf} from '../../src/protocol/message_of';
@@ -32,7 +32,7 @@
     propose: ({incarnation}: {incarnation: string}) =>
       Promise.resolve(engines.retire(incarnation)),
   } as unknown as RaftRuntime;
-  const desk = GatewayDesk.create({
+  const desk = GatewayService.create({
     settings: {} as ControlSettings,
     runtime,
     registry,
--- a/test/control/groups_cut_from_control.test.ts
+++ b/test/control/partitioned_groups.test.ts
@@ -8,11 +8,11 @@
  */
 import {describe, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendHealth} from '../../src/control/backend_health';
+import {BackendFailureDetector} from '../../src/control/backend_failure_detector';
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {ChangeSignal} from '../../src/control/change_signal';
 import {ControlSettings} from '../../src/control/control_settings';
-import {GatewayDesk} from '../../src/control/gateway_desk';
+import {GatewayService} from '../../src/control/gateway_service';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {ControlMessage} from '../../src/protocol/control_message';
 import {MessageOf} from '../../src/protocol/message_of';
@@ -52,7 +52,7 @@
     raft: {term: 1, commitIndex: 1, listVotersAt: () => new Map()},
     leadingSince: 0,
   } as unknown as RaftRuntime;
-  const desk = GatewayDesk.create({
+  const desk = GatewayService.create({
     settings: {} as ControlSettings,
     runtime,
     registry,
@@ -61,7 +61,7 @@
     events,
     identity: 'c/1',
   });
-  const health = BackendHealth.create({
+  const health = BackendFailureDetector.create({
     duties: {
       heartbeatMs: HEARTBEAT_MS,
       stallMs: 5_000,
--- a/test/control/repeated_change.test.ts
+++ b/test/control/repeated_bundle.test.ts
@@ -9,7 +9,7 @@
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {ChangeSignal} from '../../src/control/change_signal';
 import {ControlSettings} from '../../src/control/control_settings';
-import {GatewayDesk} from '../../src/control/gateway_desk';
+import {GatewayService} from '../../src/control/gateway_service';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {ChannelBundle} from '../../src/protocol/channel_bundle';
 import {CommandResult} from '../../src/state/command_result';
@@ -38,7 +38,7 @@
     leadingSince: 0,
     propose: () => new Promise(resolve => proposed.push(resolve)),
   } as unknown as RaftRuntime;
-  const desk = GatewayDesk.create({
+  const desk = GatewayService.create({
     settings: {trustedChannels: ['operators']} as unknown as ControlSettings,
     runtime,
     registry: BackendRegistry.create(),
--- a/test/control/suspect_desk.test.ts
+++ b/test/control/suspect_service.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
 import {BackendRegistry} from '../../src/control/backend_registry';
-import {SuspectDesk} from '../../src/control/suspect_desk';
+import {SuspectService} from '../../src/control/suspect_service';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {ControlCommand} from '../../src/protocol/control_command';
 import {ClusterState} from '../../src/state/cluster_state';
@@ -21,7 +21,7 @@
     },
   } as unknown as RaftRuntime;
   const events = EventRing.create();
-  const desk = SuspectDesk.create({
+  const desk = SuspectService.create({
     runtime,
     events,
     registry,
--- a/test/simulation/virtual_machine.ts
+++ b/test/simulation/virtual_machine.ts
@@ -6,7 +6,7 @@
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {ChangeSignal} from '../../src/control/change_signal';
 import {ControlSettings} from '../../src/control/control_settings';
-import {GatewayDesk} from '../../src/control/gateway_desk';
+import {GatewayService} from '../../src/control/gateway_service';
 import {QuorumMember} from '../../src/control/quorum_member';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {Message} from '../../src/protocol/message';
@@ -33,7 +33,7 @@
   readonly station: Station;
   readonly links: VirtualLinks;
   readonly member: QuorumMember;
-  readonly desk: () => GatewayDesk | undefined;
+  readonly desk: () => GatewayService | undefined;
 }
 
 /** A machine at one address. */
@@ -77,7 +77,7 @@
     return this.process?.member.runtime;
   }
 
-  get desk(): GatewayDesk | undefined {
+  get desk(): GatewayService | undefined {
     return this.process?.desk();
   }
 
@@ -177,7 +177,7 @@
       wall: this.clocks.readWall,
     });
     const timers = this.createTimers(isAlive);
-    let desk: GatewayDesk | undefined;
+    let desk: GatewayService | undefined;
     const station: Station = {
       name: this.name,
       identity: disk.identity,
@@ -201,7 +201,7 @@
       onQuorum: () => undefined,
       onRuntime: runtime => {
         void runtime.roleChanges.observe(() => onRole(this.name, runtime));
-        desk = GatewayDesk.create({
+        desk = GatewayService.create({
           settings,
           runtime,
           registry: BackendRegistry.create(),
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -5,7 +5,7 @@
  */
 import {Clock} from '../../src/common/clock';
 import {EventRing} from '../../src/common/event_ring';
-import {LimitDesk} from '../../src/control/limit_desk';
+import {RateLimitService} from '../../src/control/rate_limit_service';
 import {BackendLimits} from '../../src/gateway/backend_limits';
 import {LimitWord} from '../../src/protocol/limit_word';
 import {VirtualTime} from '../simulation/virtual_time';
@@ -72,7 +72,7 @@
   /** When the first answer named the limit. */
   firstNamedAt: number | undefined;
   asks = 0;
-  private desk: LimitDesk | undefined;
+  private desk: RateLimitService | undefined;
   private term = 0;
 
   private constructor(private readonly options: LimitCrowdOptions) {
@@ -209,7 +209,7 @@
   private elect(leadingSince: number): void {
     this.term += 1;
     const {term} = this;
-    this.desk = LimitDesk.create({
+    this.desk = RateLimitService.create({
       runtime: {raft: {term}, leadingSince},
       registry: {find: () => undefined},
       clock: this.time,
