--- a/src/control/backend_failure_detector.ts
+++ b/src/control/backend_failure_detector.ts
@@ -1,4 +1,4 @@
-/** What the leader believes about backend servers that fall silent. */
+/** Detects failed backend servers from missing registrations, gateways' reports and liveness probes. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {EngineGroup} from '../protocol/engine_group';
@@ -6,205 +6,225 @@
 import {ControlSettings} from './control_settings';
 import {GatewayService} from './gateway_service';
 
-/** Registration intervals without a word after which the leader asks itself. */
-const DOUBT_INTERVALS = 2;
-/** Failed questions in a row that count as a loss. */
+/** Missed registration intervals after which the leader probes a backend server. */
+const MISSED_INTERVALS = 2;
+/** Consecutive failed probes that count as a loss. */
 const FAILED_PROBES = 2;
-/** The same where a gateway says that the group has stalled: one more witness. */
+/** The same if a gateway reports the group as stalled, which is independent evidence. */
 const FAILED_PROBES_STALLED = 1;
-/** How long bytes that a gateway got from a head speak for all members of its group. */
-const SPEAKS_FOR_MS = 2_000;
+/** Response bytes from a head prove for this long that all members of its group are alive. */
+const ACTIVITY_VALID_MS = 2_000;
 /**
- * The same where a gateway says that the head has stalled: one telling of the others,
- * after which they would have heard it if only the way to that one were bad.
+ * The same if a gateway reports the head as stalled: one report interval of the other
+ * gateways, within which they hear from the head if only the path to that one is broken.
  */
-const SPEAKS_FOR_STALLED_MS = 300;
-/** Between two questions to one backend server that is in doubt. */
-const PROBE_EVERY_MS = 150;
+const ACTIVITY_VALID_STALLED_MS = 300;
+/** Interval between probes of one backend server. */
+const PROBE_INTERVAL_MS = 150;
 /**
- * The same once it answered, or counts as lost: only a change would be news, and each
- * question takes a new connection.
+ * The same once it answered or counts as lost: only a change matters then, and each
+ * probe opens a new connection.
  */
-const PROBE_SETTLED_EVERY_MS = 1_000;
+const SETTLED_PROBE_INTERVAL_MS = 1_000;
 
-interface Doubt {
+/** A backend server that is suspected to have failed. */
+interface Suspicion {
   failures: number;
-  /** The first member of its group; undefined while it is in none that is in doubt. */
+  /** The head of its group; undefined while neither it nor its group is suspected. */
   head: string | undefined;
-  /** A gateway says that its group has stalled. */
+  /** A gateway reports its group as stalled. */
   isStalled: boolean;
-  isAsking: boolean;
-  /** It answered the last question. */
+  isProbing: boolean;
+  /** It answered the last probe. */
   hasAnswered: boolean;
-  askedAt: number;
-  /** It stays lost until it answers or registers. */
+  probedAt: number;
+  /** Kept until it answers a probe or registers. */
   isLost: boolean;
 }
 
-/** What the judgement rests on. */
-interface BackendHealthOptions {
-  readonly duties: NonNullable<ControlSettings['pools']>;
+/** Dependencies of the detector. */
+interface BackendFailureDetectorOptions {
+  readonly poolSettings: NonNullable<ControlSettings['pools']>;
   readonly clock: Clock;
   readonly registry: BackendRegistry;
   readonly events: EventRing;
-  readonly desk: Pick<GatewayService, 'isStalled' | 'findHeardAt'>;
+  readonly gateways: Pick<
+    GatewayService,
+    'isReportedStalled' | 'findLastActivityAt'
+  >;
 }
 
-/** Judges by silence, by the gateways' word and by asking. */
+/** Suspects silent or stalled backend servers, and probes them until they fail or recover. */
 export class BackendFailureDetector {
-  private readonly doubts = new Map<string, Doubt>();
+  private readonly suspicions = new Map<string, Suspicion>();
 
-  private constructor(private readonly options: BackendHealthOptions) {}
+  private constructor(
+    private readonly options: BackendFailureDetectorOptions,
+  ) {}
 
   /**
-   * Creates a judge that doubts nobody.
+   * Creates a detector without any suspicions.
    *
    * @example
-   * const health = BackendHealth.create({duties, clock, registry, desk});
+   * const detector = BackendFailureDetector.create({poolSettings, clock, registry, events, gateways});
    */
-  static create(options: BackendHealthOptions): BackendFailureDetector {
+  static create(
+    options: BackendFailureDetectorOptions,
+  ): BackendFailureDetector {
     return new BackendFailureDetector(options);
   }
 
-  /** Forgets every doubt: another process led meanwhile. */
+  /** Drops every suspicion, since another process led meanwhile. */
   clear(): void {
-    this.doubts.clear();
+    this.suspicions.clear();
   }
 
-  /** Asks the members of groups about which there is doubt. */
+  /** Updates the suspicions and sends the probes that are due. */
   refresh(groups: readonly EngineGroup[], now: number): void {
-    const {desk, registry, duties} = this.options;
+    const {gateways, registry, poolSettings} = this.options;
     this.recordLosses();
-    const doubted = new Map<
+    const suspected = new Map<
       string,
       {address: string; head: string; isStalled: boolean}
     >();
     for (const {members} of groups) {
       const head = members[0].incarnation;
-      const isStalled = desk.isStalled(head);
+      const isStalled = gateways.isReportedStalled(head);
       for (const {incarnation, address} of members) {
         const seenAt = registry.find(incarnation)?.seenAt ?? -Infinity;
-        const isSilent = now - seenAt > duties.heartbeatMs * DOUBT_INTERVALS;
-        if (isStalled || (isSilent && !this.isSpokenFor({head, isStalled}))) {
-          doubted.set(incarnation, {address, head, isStalled});
+        const isSilent =
+          now - seenAt > poolSettings.heartbeatMs * MISSED_INTERVALS;
+        if (isStalled || (isSilent && !this.isGroupActive({head, isStalled}))) {
+          suspected.set(incarnation, {address, head, isStalled});
         }
       }
     }
-    this.clearAnswered(doubted);
-    for (const [incarnation, doubt] of this.doubts) {
-      doubt.head = doubted.get(incarnation)?.head;
-      doubt.isStalled = doubted.get(incarnation)?.isStalled ?? false;
+    this.removeRecovered(suspected);
+    for (const [incarnation, suspicion] of this.suspicions) {
+      suspicion.head = suspected.get(incarnation)?.head;
+      suspicion.isStalled = suspected.get(incarnation)?.isStalled ?? false;
     }
-    doubted.forEach(({address, head, isStalled}, incarnation) => {
-      const doubt =
-        this.doubts.get(incarnation) ?? this.startDoubt(incarnation);
-      doubt.head = head;
-      doubt.isStalled = isStalled;
-      this.ask(incarnation, doubt, address, now);
+    suspected.forEach(({address, head, isStalled}, incarnation) => {
+      const suspicion =
+        this.suspicions.get(incarnation) ?? this.addSuspicion(incarnation);
+      suspicion.head = head;
+      suspicion.isStalled = isStalled;
+      this.probe(incarnation, suspicion, address, now);
     });
   }
 
-  /** Keeps what was found since the last look, before the groups that it was found for change. */
+  /** Makes new losses permanent before the groups they were found in change. */
   private recordLosses(): void {
-    for (const [incarnation, doubt] of this.doubts) {
-      const isNews = !doubt.isLost && this.isProved(doubt);
-      // What gateways said of its group is over with the group, and it is still dead.
-      doubt.isLost ||= isNews;
-      if (isNews) {
-        this.tell('backend-lost', incarnation, 'it did not answer');
+    for (const [incarnation, suspicion] of this.suspicions) {
+      const isNewLoss = !suspicion.isLost && this.hasFailedProbes(suspicion);
+      // Reports about its group end with the group, but the backend server is still dead.
+      suspicion.isLost ||= isNewLoss;
+      if (isNewLoss) {
+        this.recordEvent('backend-lost', incarnation, 'it failed its probes');
       }
     }
   }
 
-  /** A doubt ends with a word of the backend server itself, not with its group. */
-  private clearAnswered(doubted: ReadonlyMap<string, unknown>): void {
-    for (const [incarnation, {askedAt}] of this.doubts) {
+  /** A suspicion ends when the backend server registers again, not when its group ends. */
+  private removeRecovered(suspected: ReadonlyMap<string, unknown>): void {
+    for (const [incarnation, {probedAt}] of this.suspicions) {
       const view = this.options.registry.find(incarnation);
-      const hasSpoken = view !== undefined && view.seenAt > askedAt;
-      if (!doubted.has(incarnation) && hasSpoken) {
-        this.doubts.delete(incarnation);
-        this.tell('backend-trusted', incarnation, 'it was heard again');
+      const hasRegistered = view !== undefined && view.seenAt > probedAt;
+      if (!suspected.has(incarnation) && hasRegistered) {
+        this.suspicions.delete(incarnation);
+        this.recordEvent('backend-trusted', incarnation, 'it registered again');
       }
     }
   }
 
-  /** It does not answer, and nobody hears from its group. */
+  /** True if it failed its probes while its group sent nothing to any gateway. */
   isLost(incarnation: string): boolean {
-    const doubt = this.doubts.get(incarnation);
-    return doubt !== undefined && (doubt.isLost || this.isProved(doubt));
+    const suspicion = this.suspicions.get(incarnation);
+    return (
+      suspicion !== undefined &&
+      (suspicion.isLost || this.hasFailedProbes(suspicion))
+    );
   }
 
-  private isProved(doubt: Doubt): boolean {
-    const needed = doubt.isStalled ? FAILED_PROBES_STALLED : FAILED_PROBES;
-    return doubt.failures >= needed && !this.isSpokenFor(doubt);
+  private hasFailedProbes(suspicion: Suspicion): boolean {
+    const needed = suspicion.isStalled ? FAILED_PROBES_STALLED : FAILED_PROBES;
+    return suspicion.failures >= needed && !this.isGroupActive(suspicion);
   }
 
-  /** A head that lacks a member sends nothing, so one that is heard has them all. */
-  private isSpokenFor({
+  /** A head that lost a member sends nothing, so output of the head proves that all are alive. */
+  private isGroupActive({
     head,
     isStalled,
-  }: Pick<Doubt, 'head' | 'isStalled'>): boolean {
-    const {desk, clock} = this.options;
-    const withinMs = isStalled ? SPEAKS_FOR_STALLED_MS : SPEAKS_FOR_MS;
+  }: Pick<Suspicion, 'head' | 'isStalled'>): boolean {
+    const {gateways, clock} = this.options;
+    const withinMs = isStalled ? ACTIVITY_VALID_STALLED_MS : ACTIVITY_VALID_MS;
     return (
-      head !== undefined && clock.now() - desk.findHeardAt(head) < withinMs
+      head !== undefined &&
+      clock.now() - gateways.findLastActivityAt(head) < withinMs
     );
   }
 
-  private startDoubt(incarnation: string): Doubt {
-    this.tell('backend-doubted', incarnation, 'it or its head is silent');
-    const doubt = {
+  private addSuspicion(incarnation: string): Suspicion {
+    this.recordEvent(
+      'backend-doubted',
+      incarnation,
+      'it missed registrations, or a gateway reports its group as stalled',
+    );
+    const suspicion = {
       failures: 0,
       head: undefined,
       isStalled: false,
-      isAsking: false,
+      isProbing: false,
       hasAnswered: false,
-      askedAt: -Infinity,
+      probedAt: -Infinity,
       isLost: false,
     };
-    this.doubts.set(incarnation, doubt);
-    return doubt;
+    this.suspicions.set(incarnation, suspicion);
+    return suspicion;
   }
 
-  private ask(
+  private probe(
     incarnation: string,
-    doubt: Doubt,
+    suspicion: Suspicion,
     address: string,
     now: number,
   ): void {
-    const isSettled = doubt.hasAnswered || this.isLost(incarnation);
-    const everyMs = isSettled ? PROBE_SETTLED_EVERY_MS : PROBE_EVERY_MS;
-    const isDue = now - doubt.askedAt >= everyMs;
-    if (doubt.isAsking || !isDue) {
+    const isSettled = suspicion.hasAnswered || this.isLost(incarnation);
+    const intervalMs = isSettled
+      ? SETTLED_PROBE_INTERVAL_MS
+      : PROBE_INTERVAL_MS;
+    const isDue = now - suspicion.probedAt >= intervalMs;
+    if (suspicion.isProbing || !isDue) {
       return;
     }
-    doubt.isAsking = true;
-    doubt.askedAt = now;
-    const {orders} = this.options.duties;
+    suspicion.isProbing = true;
+    suspicion.probedAt = now;
+    const {orders} = this.options.poolSettings;
     void (orders?.probe(address, incarnation) ?? Promise.resolve(true)).then(
       isAnswering => {
-        doubt.isAsking = false;
-        doubt.hasAnswered = isAnswering;
-        doubt.isLost &&= !isAnswering;
-        doubt.failures = isAnswering ? 0 : doubt.failures + 1;
+        suspicion.isProbing = false;
+        suspicion.hasAnswered = isAnswering;
+        suspicion.isLost &&= !isAnswering;
+        suspicion.failures = isAnswering ? 0 : suspicion.failures + 1;
       },
       () => {
-        doubt.isAsking = false;
-        doubt.failures += 1;
+        suspicion.isProbing = false;
+        suspicion.failures += 1;
       },
     );
   }
 
-  private tell(type: string, id: string, reason: string): void {
-    const {events, registry, clock, desk} = this.options;
+  private recordEvent(type: string, id: string, reason: string): void {
+    const {events, registry, clock, gateways} = this.options;
     const seenAt = registry.find(id)?.seenAt;
     const silentMs = seenAt === undefined ? -1 : clock.now() - seenAt;
-    const head = this.doubts.get(id)?.head;
-    const heardAt = head === undefined ? -Infinity : desk.findHeardAt(head);
+    const head = this.suspicions.get(id)?.head;
+    const headHeardAt =
+      head === undefined ? -Infinity : gateways.findLastActivityAt(head);
     const details = {
       silentMs: Math.round(silentMs),
-      headHeardMsAgo: Number.isFinite(heardAt)
-        ? Math.round(clock.now() - heardAt)
+      headHeardMsAgo: Number.isFinite(headHeardAt)
+        ? Math.round(clock.now() - headHeardAt)
         : -1,
     };
     events.record({type, subject: 'host', id, reason, details});
--- a/src/control/backend_registry.ts
+++ b/src/control/backend_registry.ts
@@ -1,59 +1,62 @@
-/** What the leader has heard from backend servers lately; never replicated. */
+/** The leader's view of backend servers, from their registrations; not replicated. */
 import {BackendView} from '../coordination/groups/backend_view';
 import {BackendRegistration} from '../protocol/backend_registration';
 import {SecondaryIndex} from './secondary_index';
 
-/** Silence after which a backend server is forgotten: it said no goodbye. */
-const FORGET_AFTER_MS = 30_000;
+/** Silence after which a backend server that never deregistered is removed. */
+const EXPIRY_MS = 30_000;
 
-/** Calls of a start that is new: its first ones may have been lost. */
-const FIRST_CALLS = 3;
-/** Silence of an address's holder after which another start that goes on calling has taken its place. */
-const SILENT_INTERVALS = 2;
-/** Where the interval of registrations is not known, in milliseconds. */
+/** Up to this sequence number a process counts as new: its first registrations may have been lost. */
+const MAX_INITIAL_SEQUENCE = 3;
+/** After this many intervals without a registration of the known process, another one that keeps registering replaces it. */
+const TAKEOVER_INTERVALS = 2;
+/** Used where the interval of registrations isn't configured. */
 const DEFAULT_HEARTBEAT_MS = 1_000;
-/** Starts that ended at an address; incarnations are never used again, so only the newest matter. */
+/** Replaced incarnations to remember; incarnations are never reused, so only the newest ones matter. */
 const MAX_REPLACED = 512;
 
-/** A registration that may be of a start that has ended. */
-interface LateRegistration {
+/** A registration that may come from a process that has ended. */
+interface StaleRegistration {
   readonly registration: BackendRegistration;
-  /** The start that holds the address. */
+  /** Incarnation of the process that is known under the same address or name. */
   readonly holder: string;
 }
 
-/** The newest registration of each start of a backend server. */
+/**
+ * Keeps the newest registration of each running backend server. Each start of a server is
+ * an incarnation of its own and replaces the one before it.
+ */
 export class BackendRegistry {
   private readonly views = new Map<string, BackendView>();
-  /** Incarnations of the views, by address and by name: a call looks at few others. */
+  /** Incarnations by address and by name, so that a registration is compared with few others. */
   private readonly byAddress = SecondaryIndex.create();
   private readonly byName = SecondaryIndex.create();
-  /** Views that told when they started. */
-  private startsTold = 0;
-  /** Starts whose address another one has taken. */
+  /** Number of views with a start time. */
+  private viewsWithStartTime = 0;
+  /** Incarnations that another one has replaced. */
   private readonly replaced = new Set<string>();
-  /** Calls of starts that may be late ones: when each first came. */
-  private readonly doubtfulSince = new Map<string, number>();
+  /** When each incarnation whose registrations may be stale was first heard, or last overruled by the known process. */
+  private readonly suspectedStaleSince = new Map<string, number>();
   private changes = 0;
 
   private constructor(
     private readonly heartbeatMs: number,
-    private readonly onLate: (late: LateRegistration) => void,
+    private readonly onStale: (stale: StaleRegistration) => void,
   ) {}
 
   /**
    * Creates an empty registry.
    *
    * @param heartbeatMs interval of registrations
-   * @param onLate told once of each start whose registration is passed over
+   * @param onStale called once for each incarnation whose registrations are ignored as stale
    * @example
    * const registry = BackendRegistry.create(1000);
    */
   static create(
     heartbeatMs = DEFAULT_HEARTBEAT_MS,
-    onLate: (late: LateRegistration) => void = () => undefined,
+    onStale: (stale: StaleRegistration) => void = () => undefined,
   ): BackendRegistry {
-    return new BackendRegistry(heartbeatMs, onLate);
+    return new BackendRegistry(heartbeatMs, onStale);
   }
 
   /** Rises with each change that gateways or the planner care about. */
@@ -61,17 +64,18 @@
     return this.changes;
   }
 
-  /** Takes a registration unless a newer one came first; tells whether it says anything new. */
+  /** Records a registration unless it is stale or out of order; true if anything but its sequence number changed. */
   record(registration: BackendRegistration, now: number): boolean {
     const known = this.views.get(registration.incarnation);
     if (known && known.registration.sequence > registration.sequence) {
       return false;
     }
-    if (!known && this.isLate(registration, now)) {
+    if (!known && this.isStale(registration, now)) {
       return false;
     }
-    const isNews = !known || describe(known) !== describe({registration});
-    this.index(known?.registration, registration);
+    const hasChanged =
+      !known || describeContent(known) !== describeContent({registration});
+    this.updateIndexes(known?.registration, registration);
     this.views.set(registration.incarnation, {
       registration,
       seenAt: now,
@@ -81,11 +85,11 @@
     if (!known) {
       this.dropPredecessors(registration);
     }
-    this.changes += isNews ? 1 : 0;
-    return isNews;
+    this.changes += hasChanged ? 1 : 0;
+    return hasChanged;
   }
 
-  /** Notes a group state that an engine told outside its registrations. */
+  /** Records a group state that an engine reported outside its registrations. */
   recordGroup(
     incarnation: string,
     group: BackendRegistration['group'],
@@ -98,11 +102,11 @@
   }
 
   /**
-   * Notes the model of a group that an engine was a member of. One that has
-   * left no longer tells it, but joins that model at once; a new leader knows
-   * only from the log.
+   * Records the model of a group that an engine was a member of. After it has left, its
+   * registrations no longer name the model, though it can rejoin one without a load; a
+   * new leader knows the model only from the replicated log.
    */
-  recordHeld(incarnation: string, model: string): void {
+  recordHeldModel(incarnation: string, model: string): void {
     const known = this.views.get(incarnation);
     const isInGroup = known?.registration.group !== undefined;
     if (known && !isInGroup && known.heldModel === undefined) {
@@ -113,21 +117,21 @@
   remove(incarnation: string): void {
     const known = this.views.get(incarnation);
     if (known) {
-      this.index(known.registration, undefined);
+      this.updateIndexes(known.registration, undefined);
       this.views.delete(incarnation);
       this.changes += 1;
     }
   }
 
-  /** Forgets those that were silent for long, and the doubts about starts that call no more. */
+  /** Removes backend servers that were silent for `EXPIRY_MS`, and old suspicions of staleness. */
   expire(now: number): void {
-    for (const [incarnation, since] of this.doubtfulSince) {
-      if (now - since > FORGET_AFTER_MS) {
-        this.doubtfulSince.delete(incarnation);
+    for (const [incarnation, since] of this.suspectedStaleSince) {
+      if (now - since > EXPIRY_MS) {
+        this.suspectedStaleSince.delete(incarnation);
       }
     }
     for (const [incarnation, view] of this.views) {
-      if (now - view.seenAt > FORGET_AFTER_MS) {
+      if (now - view.seenAt > EXPIRY_MS) {
         this.remove(incarnation);
       }
     }
@@ -137,68 +141,73 @@
     return [...this.views.values()];
   }
 
-  /** The newest start of the backend server with this name. */
+  /** The newest incarnation of the backend server with this name. */
   findByName(name: string): BackendView | undefined {
     const [incarnation] = this.byName.list(name);
     return this.views.get(incarnation);
   }
 
-  /** True once some backend server told when it started: then all of them do. */
-  get tellsStarts(): boolean {
-    return this.startsTold > 0;
+  /** True if any registration has a start time, which then all must have. */
+  get hasStartTimes(): boolean {
+    return this.viewsWithStartTime > 0;
   }
 
   find(incarnation: string): BackendView | undefined {
     return this.views.get(incarnation);
   }
 
-  /** Forgets everything: another process may lead now. */
+  /** Removes everything, since another process may lead now. */
   clear(): void {
     this.views.clear();
     this.byAddress.clear();
     this.byName.clear();
-    this.startsTold = 0;
+    this.viewsWithStartTime = 0;
     this.replaced.clear();
-    this.doubtfulSince.clear();
+    this.suspectedStaleSince.clear();
     this.changes += 1;
   }
 
   /**
-   * A call that a cut held up may come after its sender crashed and another
-   * start took its address or its name. It is told from a new start by its count of
-   * calls and its time of start, and from a start that lives by the holder, which
-   * goes on calling.
+   * A registration that a network partition delayed may arrive after its sender crashed
+   * and another process took over the address or name. Its sequence number and start time
+   * tell it from one of a new process. If the known process keeps registering, the
+   * registration is stale; if only the other one does, that one is alive.
    */
-  private isLate(registration: BackendRegistration, now: number): boolean {
+  private isStale(registration: BackendRegistration, now: number): boolean {
     const {incarnation} = registration;
     const holder = this.listHolders(registration).find(
       view => !isLaterStart(registration, view.registration),
     );
-    if (!holder || !this.isDoubtful(registration, holder.registration)) {
+    if (!holder || !this.isPossiblyStale(registration, holder.registration)) {
       return false;
     }
-    const since = this.doubtfulSince.get(incarnation) ?? now;
-    if (!this.doubtfulSince.has(incarnation)) {
-      const {incarnation: held} = holder.registration;
-      this.onLate({registration, holder: held});
+    const since = this.suspectedStaleSince.get(incarnation) ?? now;
+    if (!this.suspectedStaleSince.has(incarnation)) {
+      const {incarnation: holderIncarnation} = holder.registration;
+      this.onStale({registration, holder: holderIncarnation});
     }
-    const hasHolderSpoken = holder.seenAt >= since;
-    this.doubtfulSince.set(incarnation, hasHolderSpoken ? now : since);
-    return hasHolderSpoken || now - since < this.heartbeatMs * SILENT_INTERVALS;
+    const hasHolderRegistered = holder.seenAt >= since;
+    this.suspectedStaleSince.set(
+      incarnation,
+      hasHolderRegistered ? now : since,
+    );
+    return (
+      hasHolderRegistered || now - since < this.heartbeatMs * TAKEOVER_INTERVALS
+    );
   }
 
-  private isDoubtful(
+  private isPossiblyStale(
     registration: BackendRegistration,
     holder: BackendRegistration,
   ): boolean {
     return (
       this.replaced.has(registration.incarnation) ||
-      registration.sequence > FIRST_CALLS ||
+      registration.sequence > MAX_INITIAL_SEQUENCE ||
       isLaterStart(holder, registration)
     );
   }
 
-  /** Other starts that stand where this one would: at its address, or under its name. */
+  /** Other incarnations with the same address or name. */
   private listHolders({
     incarnation,
     address,
@@ -210,26 +219,26 @@
     return [...holders].flatMap(holder => this.views.get(holder) ?? []);
   }
 
-  private index(
+  private updateIndexes(
     before: BackendRegistration | undefined,
     after: BackendRegistration | undefined,
   ): void {
     if (before) {
       this.byAddress.remove(before.address, before.incarnation);
       this.byName.remove(before.name, before.incarnation);
-      this.startsTold -= before.startedAt ? 1 : 0;
+      this.viewsWithStartTime -= before.startedAt ? 1 : 0;
     }
     if (after) {
       this.byAddress.add(after.address, after.incarnation);
       this.byName.add(after.name, after.incarnation);
-      this.startsTold += after.startedAt ? 1 : 0;
+      this.viewsWithStartTime += after.startedAt ? 1 : 0;
     }
   }
 
-  /** A new start at the same address, or under the same name, ends the one before. */
+  /** A new incarnation replaces others with the same address or name. */
   private dropPredecessors(registration: BackendRegistration): void {
     this.replaced.delete(registration.incarnation);
-    this.doubtfulSince.delete(registration.incarnation);
+    this.suspectedStaleSince.delete(registration.incarnation);
     for (const holder of this.listHolders(registration)) {
       this.remove(holder.registration.incarnation);
       this.replaced.add(holder.registration.incarnation);
@@ -243,7 +252,7 @@
   }
 }
 
-/** Two starts of one backend server: a clock may jump back between them, so only the later one is sure to be newer. */
+/** Whether the first registration is of a later start of the same server; false proves nothing, since its clock may have been set back. */
 function isLaterStart(
   {name, startedAt}: BackendRegistration,
   other: BackendRegistration,
@@ -256,7 +265,7 @@
   );
 }
 
-/** Joining puts another model into memory; until it is told, nothing is sure. */
+/** The model in an engine's memory; unknown while it joins a group, which may replace the model. */
 function findHeldModel(
   {model, group}: BackendRegistration,
   known: BackendView | undefined,
@@ -264,7 +273,11 @@
   return model ?? (group?.state === 'joining' ? undefined : known?.heldModel);
 }
 
-/** Everything but the counter of calls. */
-function describe({registration}: {registration: BackendRegistration}): string {
+/** Everything but the sequence number, for comparison. */
+function describeContent({
+  registration,
+}: {
+  registration: BackendRegistration;
+}): string {
   return JSON.stringify({...registration, sequence: 0});
 }
--- a/src/control/change_signal.ts
+++ b/src/control/change_signal.ts
@@ -1,4 +1,4 @@
-/** Lets answers wait until something changed. */
+/** Notifies subscribers and pending calls of state changes. */
 export class ChangeSignal {
   private readonly waiting = new Set<() => void>();
 
@@ -7,7 +7,7 @@
   private constructor() {}
 
   /**
-   * Creates a signal that nobody waits for.
+   * Creates a signal without subscribers.
    *
    * @example
    * const signal = ChangeSignal.create();
@@ -35,8 +35,8 @@
     this.listeners.push(listener);
   }
 
-  /** Wakes everybody who waits. */
-  announce(): void {
+  /** Calls every listener and resolves every pending wait. */
+  notify(): void {
     this.listeners.forEach(listener => listener());
     [...this.waiting].forEach(finish => finish());
   }
--- a/src/control/check_durability.ts
+++ b/src/control/check_durability.ts
@@ -3,40 +3,41 @@
 import {ControlSettings} from './control_settings';
 import {RaftRuntime} from './raft_runtime';
 
-/** Voters that were to come have come after this long; a start takes two seconds. */
-const GROWTH_MS = 6_000;
+/** Expected voters have joined a new leader by then; starting a process takes two seconds. */
+const QUORUM_GROWTH_MS = 6_000;
 
-/** What it is decided from. */
-interface CopiesSituation {
+/** What the check depends on. */
+interface DurabilityInput {
   readonly settings: Pick<ControlSettings, 'seeded'>;
   readonly runtime: RaftRuntime;
   readonly clock: Clock;
 }
 
 /**
- * Refuses a change that a loss which is to be survived could take back: before the
- * quorum has its size it could take every copy, or leave no majority. Where no more
- * voters come, the copies decide.
+ * Refuses a change that could be lost with as many processes as the quorum must tolerate:
+ * until it has its full size, such a failure could destroy every copy of an entry, or the
+ * majority. After `QUORUM_GROWTH_MS` a smaller quorum will do if a majority of it holds
+ * `minCopies`.
  *
- * @throws ControlError telling how many copies are sure
+ * @throws ControlError with the number of guaranteed copies
  * @example
- * checkCopies({settings, runtime, clock});
+ * checkDurability({settings, runtime, clock});
  */
 export function checkDurability({
   settings,
   runtime,
   clock,
-}: CopiesSituation): void {
+}: DurabilityInput): void {
   const {raft} = runtime;
   const voters = raft.listVotersAt(raft.commitIndex).size;
   const {voters: wanted = 1, minCopies = 1} = settings.seeded ?? {};
   const copies = Math.floor(voters / 2) + 1;
-  const ledMs = clock.now() - runtime.leadingSince;
-  const isEnough =
-    voters >= wanted || (ledMs > GROWTH_MS && copies >= minCopies);
-  if (!isEnough || raft.isChangingVoters) {
+  const leadingMs = clock.now() - runtime.leadingSince;
+  const isDurable =
+    voters >= wanted || (leadingMs > QUORUM_GROWTH_MS && copies >= minCopies);
+  if (!isDurable || raft.isChangingVoters) {
     throw new ControlError(
-      'the quorum has %d of %d voters, so an entry has %d sure copies of the %d needed',
+      'the quorum has %d of %d voters, which guarantees %d copies of an entry where %d are required',
       voters,
       wanted,
       copies,
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -1,4 +1,4 @@
-/** One control process: forms or joins the quorum, decides, answers. */
+/** A control process: forms or joins the quorum and, while it leads, plans and serves calls. */
 import {randomBytes} from 'node:crypto';
 import {EventRing} from '../common/event_ring';
 import {LeaseClock} from '../common/lease_clock';
@@ -33,9 +33,9 @@
 
 /** A running control process. */
 export class ControlServer {
-  /** What happened here, newest in memory. */
+  /** Recent events of this process. */
   readonly events = EventRing.create();
-  /** Settles when the process must stop because its disk failed. */
+  /** Resolves with the error when the process must stop because its disk failed. */
   readonly failed: Promise<Error>;
   private fail: (error: Error) => void = () => undefined;
   private readonly log: ControlLog;
@@ -63,7 +63,7 @@
           type: 'backend-passed-over',
           subject: 'host',
           id: incarnation,
-          reason: `${holder} holds its address: it may have ended`,
+          reason: `the registration was ignored: ${holder} has the same address or name, so the sender may have ended`,
           details: {address, sequence},
         }),
     );
@@ -78,14 +78,14 @@
    * const control = await ControlServer.create(settings);
    */
   static async create(settings: ControlSettings): Promise<ControlServer> {
-    const refusals: string[] = [];
+    const diskFullReasons: string[] = [];
     const {name, dataFolder, locksFolder} = settings;
     const disk = await ControlDisk.create(dataFolder, name, {
       locksFolder,
-      onDiskFull: error => refusals.push(error.message),
+      onDiskFull: error => diskFullReasons.push(error.message),
     });
     const control = new ControlServer(settings, disk);
-    refusals.forEach(reason => control.record('disk-full', reason));
+    diskFullReasons.forEach(reason => control.record('disk-full', reason));
     await control.start().catch(async error => {
       await disk.close();
       throw error;
@@ -93,12 +93,12 @@
     return control;
   }
 
-  /** The port that is listened on. */
+  /** The listening port; 0 before the server listens. */
   get port(): number {
     return this.server?.port ?? 0;
   }
 
-  /** Addresses at which the leader may be found, the likeliest first. */
+  /** Addresses of control processes to try, the known leader first, then voters and seeds. */
   listControlAddresses(): string[] {
     const leader = this.runtime?.raft.leader;
     const voters = Object.keys(this.member?.keeper.listVoters() ?? {});
@@ -107,17 +107,17 @@
     return [...new Set([...known, ...voters, ...seeds])];
   }
 
-  /** Takes other places to find control processes at, as the settings changed. */
+  /** Adds addresses for the discovery of control processes, after a change of the settings. */
   addSeeds(seeds: readonly string[]): void {
     this.member?.keeper.addSeeds(seeds);
   }
 
-  /** True while this process may answer for the whole system. */
+  /** True while this process is the leader and its lease is valid. */
   get isLeading(): boolean {
     return this.runtime?.canAnswer() ?? false;
   }
 
-  /** Stops without waiting for anything but the disk. */
+  /** Closes connections, timers and the disk without waiting for pending calls. */
   async close(): Promise<void> {
     this.planner?.close();
     this.enginePlanner?.close();
@@ -130,11 +130,11 @@
   private async start(): Promise<void> {
     const {settings, disk} = this;
     this.log.recordRecovered(disk);
-    const cut = disk.log.recovered.cutBytes;
-    if (cut > 0) {
+    const truncatedBytes = disk.log.recovered.cutBytes;
+    if (truncatedBytes > 0) {
       this.record(
         'log-tail-cut',
-        `${cut} bytes of an unfinished last write were cut off`,
+        `${truncatedBytes} bytes of an incomplete last write were truncated`,
       );
     }
     this.server = await FrameServer.create({
@@ -168,9 +168,9 @@
       random: Math.random,
       send: (to, message) => this.sendRaft(to, message),
       onQuorum: ({type, reason}) => this.record(type, reason),
-      onRuntime: runtime => this.startLeading(runtime),
+      onRuntime: runtime => this.startLeaderServices(runtime),
       onFailure: error => this.fail(error),
-      onChange: () => this.signal.announce(),
+      onChange: () => this.signal.notify(),
       onDiskFull: error => this.record('disk-full', error.message),
     });
     this.member.start();
@@ -211,33 +211,34 @@
   }
 
   private async answer(
-    ask: MessageOf<Message, keyof Handlers>,
+    request: MessageOf<Message, keyof Handlers>,
     reply: Reply,
   ): Promise<void> {
     const {runtime, handlers} = this;
     const control = this.settings.seeded
       ? this.listControlAddresses()
       : undefined;
-    const refuse = () => reply({type: 'not-leader', call: ask.call, control});
-    if (!runtime?.canAnswer() || !handlers?.[ask.type]) {
+    const refuse = () =>
+      reply({type: 'not-leader', call: request.call, control});
+    if (!runtime?.canAnswer() || !handlers?.[request.type]) {
       if (runtime?.raft.role === 'leader') {
         this.recordRefusal(
-          ask.type,
-          'it leads, but no quorum confirmed that lately',
+          request.type,
+          'it is the leader, but no quorum has confirmed that lately',
         );
       }
       refuse();
       return;
     }
     try {
-      const answer = await handlers[ask.type](ask as never);
-      // Between the question and the answer this process may have been frozen.
+      const answer = await handlers[request.type](request as never);
+      // This process may have been suspended since the call, and its lease expired.
       if (runtime.canAnswer()) {
         reply(answer);
       } else {
         this.recordRefusal(
-          ask.type,
-          'the lead was lost before the answer left',
+          request.type,
+          'leadership was lost before the answer was sent',
         );
         refuse();
       }
@@ -245,18 +246,23 @@
       if (!(error instanceof ControlError)) {
         throw error;
       }
-      this.recordRefusal(ask.type, error.message);
+      this.recordRefusal(request.type, error.message);
       refuse();
     }
   }
 
-  private recordRefusal(ask: string, reason: string): void {
+  private recordRefusal(callType: string, reason: string): void {
     const voters = Object.keys(this.member?.keeper.listVoters() ?? {});
-    this.log.recordRefusal({ask, reason, voters, raft: this.runtime?.raft});
+    this.log.recordRefusal({
+      ask: callType,
+      reason,
+      voters,
+      raft: this.runtime?.raft,
+    });
   }
 
-  /** Sets up what the leader does, beside the agreement. */
-  private startLeading(runtime: RaftRuntime): void {
+  /** Starts what the leader does besides consensus; it is idle while another process leads. */
+  private startLeaderServices(runtime: RaftRuntime): void {
     const {settings, disk, fleet} = this;
     void runtime.roleChanges.observe(({role, reason}) => {
       fleet.clear();
@@ -269,7 +275,7 @@
       clock: systemClock,
     });
     this.planner = planner;
-    const desk = GatewayService.create({
+    const gateways = GatewayService.create({
       settings,
       runtime,
       registry: this.registry,
@@ -280,16 +286,16 @@
     });
     if (settings.pools) {
       this.enginePlanner = EngineGroupPlannerLoop.create({
-        duties: settings.pools,
+        poolSettings: settings.pools,
         runtime,
         registry: this.registry,
-        desk,
+        gateways,
         clock: systemClock,
         events: this.events,
       });
     }
     this.handlers = createCallHandlers({
-      desk,
+      gateways,
       suspects: SuspectService.create({
         runtime,
         events: this.events,
@@ -303,7 +309,7 @@
       trustedKeys: settings.trustedKeys,
       leaseMs: settings.leaseMs,
       findStandby: hostId => planner.findStandby(hostId),
-      createStatus: () =>
+      createFleetStatus: () =>
         createFleetStatus({
           identity: disk.identity,
           runtime,
@@ -314,7 +320,7 @@
     });
   }
 
-  /** What cannot be sent is as good as lost, which the agreement bears. */
+  /** A message that can't be sent counts as lost, which the consensus protocol tolerates. */
   private sendRaft(to: string, message: RaftMessage): void {
     try {
       this.links?.send(to, message);
--- a/src/control/control_settings.ts
+++ b/src/control/control_settings.ts
@@ -2,49 +2,52 @@
 import {EngineOrders} from '../protocol/engine_orders';
 import {TransportSecurity} from '../transport/transport_security';
 
-/** A quorum that grows from a few first members; processes are named by their address. */
+/** Bootstrap of a quorum from seed processes; processes are named by their address. */
 interface SeededQuorum {
-  /** Names of the first members; later only places to ask. */
+  /** Names of the initial voters; once the quorum exists, only used for discovery. */
   readonly seeds: readonly string[];
-  /** True when the whole system starts for the first time. */
+  /** True if the whole system starts for the first time, so that a new quorum may be formed. */
   readonly isFirstStart: boolean;
-  /** Voters that the quorum should have. */
+  /** Target number of voters. */
   readonly voters: number;
-  /** Copies without which nothing is acknowledged: losses to survive, and one. */
+  /** Guaranteed copies needed to acknowledge a change: the tolerated number of failures plus one. */
   readonly minCopies: number;
 }
 
-/** How the platform runs the leader's duties beyond the agreement. */
-interface PoolDuties {
-  /** Between two registrations of one backend server, in milliseconds. */
+/** What the leader needs to manage the backend servers of the pools. */
+interface PoolSettings {
+  /** Interval between the registrations of a backend server, in milliseconds. */
   readonly heartbeatMs: number;
-  /** How long a group that lost a member stalls before its head reports it broken, in milliseconds. */
+  /** Time for which a group that lost a member stalls until its head reports it as broken, in milliseconds. */
   readonly stallMs: number;
-  /** Absent where nobody gives orders to engines. */
+  /** Client for orders to engines; without it engines get neither orders nor probes. */
   readonly orders?: EngineOrders;
 }
 
-/** Everything that a control process is told when it starts. */
+/** Settings of a control process. */
 export interface ControlSettings {
   readonly name: string;
   readonly host: string;
   readonly port: number;
   readonly dataFolder: string;
-  /** When this process began, on its monotonic clock, if nobody ran on the folder since; the creation by default. */
+  /**
+   * Start of this process on its monotonic clock, if no other process has used the data
+   * folder since; the time of creation by default.
+   */
   readonly startedAt?: number;
-  /** False where the platform keeps other processes out of the folder; true by default. */
+  /** Whether to lock the data folder; false if the platform guarantees exclusive access. Default: true. */
   readonly locksFolder?: boolean;
   /** Address of each other control process, by name. */
   readonly peers: ReadonlyMap<string, string>;
   readonly trustedKeys: readonly KeyObject[];
-  /** Milliseconds for which a confirmed bundle may be worked under. */
+  /** Time for which hosts and entry processes may use a bundle after it was confirmed, in milliseconds. */
   readonly leaseMs: number;
-  /** In place of `peers`: the quorum is found from seeds. */
+  /** Replaces `peers`: the quorum is discovered through seeds. */
   readonly seeded?: SeededQuorum;
-  /** Channels over which bundles are accepted unsigned; none by default. */
+  /** Channels whose bundles are accepted without a signature; none by default. */
   readonly trustedChannels?: readonly string[];
-  readonly pools?: PoolDuties;
+  readonly pools?: PoolSettings;
   readonly security?: TransportSecurity;
-  /** Entries behind the snapshot after which a new one is taken. */
+  /** Number of log entries after a snapshot that triggers the next one. */
   readonly snapshotEvery?: number;
 }
--- a/src/control/create_call_handlers.ts
+++ b/src/control/create_call_handlers.ts
@@ -1,4 +1,4 @@
-/** Answers the calls of hosts, entries and operators; only a leader does. */
+/** Handlers for the calls of hosts, entry processes, gateways, backend servers and operators, on the leader. */
 import {KeyObject, verify} from 'node:crypto';
 import {Clock} from '../common/clock';
 import {computeKeyId} from '../protocol/compute_key_id';
@@ -17,13 +17,13 @@
 import {RaftRuntime} from './raft_runtime';
 import {SuspectService} from './suspect_service';
 
-/** How long an operator's order may travel. */
+/** A signed order of an operator is refused when it is older, so that it can't be replayed later. */
 const MAX_ORDER_AGE_MS = 60_000;
-const MAX_JOURNAL_ANSWER = 1_000;
-/** How long an entry's question is held while there is nothing new to tell. */
-const HOLD_MS = 1_000;
+const MAX_JOURNAL_ENTRIES = 1_000;
+/** Long polling: an entry process's report is held this long while it has seen every update. */
+const LONG_POLL_MS = 1_000;
 
-type Asks =
+type CallType =
   | 'host-report'
   | 'entry-report'
   | 'claim-ask'
@@ -37,33 +37,33 @@
   | keyof SuspectService['handlers']
   | keyof GatewayService['handlers'];
 type Handlers = {
-  [T in Asks]: (
-    ask: MessageOf<ControlMessage, T>,
+  [T in CallType]: (
+    request: MessageOf<ControlMessage, T>,
   ) => ControlMessage | Promise<ControlMessage>;
 };
 
-/** What the handlers work on. */
+/** Dependencies of the handlers. */
 interface CallContext {
-  readonly desk: GatewayService;
+  readonly gateways: GatewayService;
   readonly suspects: SuspectService;
   readonly runtime: RaftRuntime;
   readonly fleet: Fleet;
   readonly clock: Clock;
   readonly signal: ChangeSignal;
-  /** Keys of the operators whose bundles and orders are accepted. */
+  /** Public keys of the operators whose signed bundles and orders are accepted. */
   readonly trustedKeys: readonly KeyObject[];
-  /** How long hosts and entries may take new work after each answer. */
+  /** Lease of hosts and entry processes: they may take new work for this long after each answer. */
   readonly leaseMs: number;
   readonly findStandby: (hostId: string) => string | null;
-  readonly createStatus: () => FleetStatus;
+  readonly createFleetStatus: () => FleetStatus;
 }
 
 /**
- * Creates the table of handlers by type of call.
+ * Creates the handlers by type of call.
  *
  * @example
  * const handlers = createCallHandlers(context);
- * const answer = await handlers['status-ask'](ask);
+ * const answer = await handlers['status-ask'](request);
  */
 export function createCallHandlers(context: CallContext): Handlers {
   const {runtime, fleet, clock, leaseMs} = context;
@@ -78,7 +78,7 @@
   return {
     'host-report': ({call, report}) => {
       fleet.recordHost(report, clock.now());
-      const group = findNews(findAssignment(runtime, report), report);
+      const group = findChange(findAssignment(runtime, report), report);
       const bundle = describeBundle(report.bundleVersion);
       const standby = context.findStandby(report.hostId);
       return {type: 'host-directive', call, leaseMs, ...bundle, group, standby};
@@ -89,7 +89,7 @@
         tableVersion === runtime.state.groups.version &&
         bundleVersion === runtime.state.bundles.version;
       if (isUpToDate) {
-        await context.signal.waitForChange(HOLD_MS);
+        await context.signal.waitForChange(LONG_POLL_MS);
       }
       const {groups} = runtime.state;
       return {
@@ -125,29 +125,29 @@
       });
       return {type: 'claim-resolved', call};
     },
-    'roll-out-ask': ask => rollOut(ask, context),
+    'roll-out-ask': request => rollOut(request, context),
     'leader-ask': ({call}) => ({type: 'leader-answer', call}),
     'status-ask': ({call}) => ({
       type: 'status-answer',
       call,
-      status: context.createStatus(),
+      status: context.createFleetStatus(),
     }),
     'journal-ask': ({call, subject, id, after}) => {
       const entries = runtime.state.listJournal({subject, id, after});
       return {
         type: 'journal-answer',
         call,
-        entries: entries.slice(-MAX_JOURNAL_ANSWER),
+        entries: entries.slice(-MAX_JOURNAL_ENTRIES),
       };
     },
-    'drain-ask': ask => drain(ask, context),
-    'lift-ask': ask => revokeVerdict(ask, context),
-    ...context.desk.handlers,
+    'drain-ask': request => drain(request, context),
+    'lift-ask': request => liftVerdict(request, context),
+    ...context.gateways.handlers,
     ...context.suspects.handlers,
   };
 }
 
-/** The group that a host belongs to under the incarnation that it reports. */
+/** The group of a host, if it is assigned to the incarnation that the host reports. */
 function findAssignment(
   runtime: RaftRuntime,
   report: HostReport,
@@ -157,8 +157,8 @@
   return group && member?.incarnation === report.incarnation ? group : null;
 }
 
-/** Undefined when the host was told the same before. */
-function findNews(
+/** The assignment to send to a host; undefined if the host has it already. */
+function findChange(
   group: Group | null,
   {told}: HostReport,
 ): Group | null | undefined {
@@ -168,10 +168,10 @@
 }
 
 async function rollOut(
-  ask: MessageOf<ControlMessage, 'roll-out-ask'>,
+  request: MessageOf<ControlMessage, 'roll-out-ask'>,
   context: CallContext,
 ): Promise<ControlMessage> {
-  const {call, bundle} = ask;
+  const {call, bundle} = request;
   const answer = {
     type: 'roll-out-answer' as const,
     call,
@@ -194,13 +194,13 @@
 }
 
 async function drain(
-  ask: MessageOf<ControlMessage, 'drain-ask'>,
+  request: MessageOf<ControlMessage, 'drain-ask'>,
   context: CallContext,
 ): Promise<ControlMessage> {
-  const {call, hostId, isDraining, keyId} = ask;
+  const {call, hostId, isDraining, keyId} = request;
   try {
-    const text = describeDrainOrder(hostId, isDraining, ask.time);
-    checkOrder(ask, text, context.trustedKeys);
+    const text = describeDrainOrder(hostId, isDraining, request.time);
+    checkOrder(request, text, context.trustedKeys);
   } catch (error) {
     return {
       type: 'drain-answer',
@@ -225,14 +225,18 @@
   };
 }
 
-async function revokeVerdict(
-  ask: MessageOf<ControlMessage, 'lift-ask'>,
+async function liftVerdict(
+  request: MessageOf<ControlMessage, 'lift-ask'>,
   context: CallContext,
 ): Promise<ControlMessage> {
-  const {call, name, keyId} = ask;
+  const {call, name, keyId} = request;
   const answer = {type: 'lift-answer' as const, call};
   try {
-    checkOrder(ask, describeLiftOrder(name, ask.time), context.trustedKeys);
+    checkOrder(
+      request,
+      describeLiftOrder(name, request.time),
+      context.trustedKeys,
+    );
   } catch (error) {
     return {...answer, isAccepted: false, reason: (error as Error).message};
   }
@@ -242,6 +246,7 @@
   return {...answer, isAccepted, reason};
 }
 
+/** @throws ControlError when the order is outdated, or isn't signed by a trusted key */
 function checkOrder(
   order: {
     readonly keyId: string;
--- a/src/control/create_fleet_status.ts
+++ b/src/control/create_fleet_status.ts
@@ -4,7 +4,7 @@
 import {Fleet} from './fleet';
 import {RaftRuntime} from './raft_runtime';
 
-/** What a status is made from. */
+/** Sources of the status. */
 interface StatusInput {
   readonly identity: string;
   readonly runtime: RaftRuntime;
@@ -14,10 +14,10 @@
 }
 
 /**
- * Sums up what the leader knows.
+ * Creates the status report for operators from the state of the leader.
  *
  * @example
- * const status = createStatus({identity, runtime, fleet, reachable, now: clock.now()});
+ * const status = createFleetStatus({identity, runtime, fleet, reachable, now: clock.now()});
  */
 export function createFleetStatus(input: StatusInput): FleetStatus {
   const {identity, runtime, fleet, reachable, now} = input;
--- a/src/control/encoded_rules_cache.ts
+++ b/src/control/encoded_rules_cache.ts
@@ -2,8 +2,9 @@
 import {rulesCodec} from '../protocol/rules_codec';
 
 /**
- * Keeps the newest rules encoded. Encoded for each of 36 gateways, 1,400 routes held up
- * the leader for half a second after each change, and three changes cost it the lead.
+ * Caches the encoded form of the newest rules. Encoding 1,400 routes separately for each
+ * of 36 gateways blocked the leader's event loop for half a second after each change, and
+ * three changes cost it the leadership.
  */
 export class EncodedRulesCache {
   private rules: GatewayRules | undefined;
@@ -12,17 +13,17 @@
   private constructor() {}
 
   /**
-   * Creates a place for encoded rules.
+   * Creates an empty cache.
    *
    * @example
-   * const bytes = EncodedRules.create().read(rules);
+   * const bytes = EncodedRulesCache.create().get(rules);
    */
   static create(): EncodedRulesCache {
     return new EncodedRulesCache();
   }
 
-  /** The rules as bytes, encoded at the first call with them. */
-  read(rules: GatewayRules | undefined): Uint8Array | undefined {
+  /** The encoded rules; encodes them only if they aren't those of the call before. */
+  get(rules: GatewayRules | undefined): Uint8Array | undefined {
     if (this.rules !== rules) {
       this.rules = rules;
       this.bytes = rules && rulesCodec.encode(rules);
--- a/src/control/engine_group_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -1,4 +1,4 @@
-/** Lets the leader plan the groups of engines again and again, and gives its orders. */
+/** Periodically plans the groups of engines, commits the changes and dispatches the orders while this process leads. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {BackendView} from '../coordination/groups/backend_view';
@@ -20,53 +20,53 @@
 import {OrderDispatcher} from './order_dispatcher';
 import {RaftRuntime} from './raft_runtime';
 
-/** A repair takes half a dozen steps, each of which waits for the next plan. */
+/** A repair takes about six steps, each of which waits for the next plan. */
 const PLAN_EVERY_MS = 40;
-/** A new leader first listens for this many registration intervals. */
+/** A new leader collects registrations for this many intervals before it plans. */
 const LISTEN_INTERVALS = 1.1;
-/** Silence in registration intervals after which a backend server counts as away. */
+/** Missed registration intervals after which a backend server gets no part in a new group. */
 const SILENT_INTERVALS = 3;
-/** Without a new host for this many registration intervals, all that live are known. */
+/** After this many registration intervals without a new host, all live ones are known. */
 const SETTLED_INTERVALS = 0.7;
 
-/** Hosts that were moved serve again within this time; only then is it seen what is missing. */
-const REBALANCE_EVERY_MS = 2_500;
+/** Hosts that were moved serve again within this time; their effect on demand doesn't show earlier. */
+const REBALANCE_INTERVAL_MS = 2_500;
 
 type Pool = GatewayRules['pools'][number];
 
-/** What the loop works on. */
-interface EnginePlannerOptions {
-  readonly duties: NonNullable<ControlSettings['pools']>;
+/** Dependencies of the loop. */
+interface EngineGroupPlannerLoopOptions {
+  readonly poolSettings: NonNullable<ControlSettings['pools']>;
   readonly runtime: RaftRuntime;
   readonly registry: BackendRegistry;
-  readonly desk: GatewayService;
+  readonly gateways: GatewayService;
   readonly clock: Clock;
   readonly events: EventRing;
 }
 
-/** Plans while this process leads. */
+/** Reconciles groups of engines with the rules in force. */
 export class EngineGroupPlannerLoop {
   private readonly timer: NodeJS.Timeout;
-  private readonly health: BackendFailureDetector;
-  private readonly release: HeadStopDetector;
+  private readonly failureDetector: BackendFailureDetector;
+  private readonly headStops: HeadStopDetector;
   private readonly orders: OrderDispatcher;
-  /** When hosts were last moved: they are not moved again at once. */
+  /** When hosts were last moved to another model, which limits how often that happens. */
   private rebalancedAt = -Infinity;
-  /** How the hosts of each pool are split among its models. */
-  private readonly followers = new Map<string, DemandFollower>();
+  /** Adjusts the shares of the models to the demand, by pool. */
+  private readonly shareAdjusters = new Map<string, DemandFollower>();
   private plannedTerm = -1;
   private isCommitting = false;
 
-  private constructor(private readonly options: EnginePlannerOptions) {
-    const {duties, clock, registry, desk, events} = options;
-    this.health = BackendFailureDetector.create({
-      duties,
+  private constructor(private readonly options: EngineGroupPlannerLoopOptions) {
+    const {poolSettings, clock, registry, gateways, events} = options;
+    this.failureDetector = BackendFailureDetector.create({
+      poolSettings,
       clock,
       registry,
-      desk,
+      gateways,
       events,
     });
-    this.release = HeadStopDetector.create(registry, duties.stallMs);
+    this.headStops = HeadStopDetector.create(registry, poolSettings.stallMs);
     this.orders = OrderDispatcher.create(options);
     this.timer = setInterval(() => void this.run(), PLAN_EVERY_MS);
   }
@@ -75,9 +75,11 @@
    * Starts the loop.
    *
    * @example
-   * const planner = EnginePlannerLoop.create({duties, runtime, registry, desk, clock, events});
+   * const planner = EngineGroupPlannerLoop.create({poolSettings, runtime, registry, gateways, clock, events});
    */
-  static create(options: EnginePlannerOptions): EngineGroupPlannerLoop {
+  static create(
+    options: EngineGroupPlannerLoopOptions,
+  ): EngineGroupPlannerLoop {
     return new EngineGroupPlannerLoop(options);
   }
 
@@ -86,10 +88,10 @@
   }
 
   private async run(): Promise<void> {
-    const {runtime, clock, duties, registry} = this.options;
+    const {runtime, clock, poolSettings, registry} = this.options;
     const now = clock.now();
-    this.release.refresh(runtime.state.engines.list(), now);
-    const listenMs = duties.heartbeatMs * LISTEN_INTERVALS;
+    this.headStops.refresh(runtime.state.engines.list(), now);
+    const listenMs = poolSettings.heartbeatMs * LISTEN_INTERVALS;
     const isListening = now - runtime.leadingSince < listenMs;
     if (!runtime.canAnswer() || this.isCommitting || isListening) {
       return;
@@ -97,8 +99,8 @@
     if (this.plannedTerm !== runtime.raft.term) {
       this.plannedTerm = runtime.raft.term;
       this.orders.clear();
-      this.health.clear();
-      this.followers.clear();
+      this.failureDetector.clear();
+      this.shareAdjusters.clear();
     }
     registry.expire(now);
     const known = registry.list().map(view => view.registration.incarnation);
@@ -114,7 +116,7 @@
   }
 
   private async planPool(pool: Pool, now: number): Promise<void> {
-    const {runtime, registry, duties, desk} = this.options;
+    const {runtime, registry, poolSettings, gateways} = this.options;
     const {engines} = runtime.state;
     if (!pool.engine) {
       return;
@@ -126,51 +128,53 @@
     if (groups.length === 0 && !this.isSettled(backends, now)) {
       return;
     }
-    this.recordHeld(groups);
-    this.health.refresh(groups, now);
-    const domains = countByDomain(this.listWell(backends));
+    this.recordHeldModels(groups);
+    this.failureDetector.refresh(groups, now);
+    const domains = countByDomain(this.listHealthy(backends));
     const input = {
       pool: pool.name,
       profile: pool.engine,
       groups,
       backends,
-      isFirstStart: groups.length === 0 && backends.every(isEmpty),
+      isFirstStart: groups.length === 0 && backends.every(hasNoWeights),
       now,
-      silentAfterMs: duties.heartbeatMs * SILENT_INTERVALS,
+      silentAfterMs: poolSettings.heartbeatMs * SILENT_INTERVALS,
       isStillListening:
-        now - runtime.leadingSince < duties.heartbeatMs * SILENT_INTERVALS,
+        now - runtime.leadingSince <
+        poolSettings.heartbeatMs * SILENT_INTERVALS,
       isRetired: (incarnation: string) => engines.isRetired(incarnation),
-      mayRebalance: now - this.rebalancedAt > REBALANCE_EVERY_MS,
+      mayRebalance: now - this.rebalancedAt > REBALANCE_INTERVAL_MS,
       epoch: runtime.raft.commitIndex,
       findLoading: (incarnation: string) =>
-        this.orders.findLoading(incarnation),
-      isPressed: (model: string) => desk.isPressed(model),
-      isLost: (incarnation: string) => this.health.isLost(incarnation),
-      isLetGo: (group: EngineGroup) => this.release.isLetGo(group, now),
-      hasLeaver: (group: EngineGroup) => this.release.hasLeaver(group),
+        this.orders.findLoadingModel(incarnation),
+      isPressed: (model: string) => gateways.isSaturated(model),
+      isLost: (incarnation: string) => this.failureDetector.isLost(incarnation),
+      isLetGo: (group: EngineGroup) => this.headStops.isHeadStopped(group, now),
+      hasLeaver: (group: EngineGroup) =>
+        this.headStops.hasDepartedMember(group),
     };
-    const actions = planEngineGroups(this.followDemand(input, domains));
+    const actions = planEngineGroups(this.applyDemand(input, domains));
     if (actions.some(action => 'isMove' in action && action.isMove)) {
       this.rebalancedAt = now;
     }
     await this.commitChanges(actions);
     for (const action of actions) {
       if (action.type === 'order') {
-        this.orders.give(action, pool.engine, now);
+        this.orders.dispatch(action, pool.engine, now);
       }
     }
   }
 
-  /** Plans by shares that follow what callers ask for. */
-  private followDemand(
+  /** Completes the input of a plan with model shares adjusted to the demand. */
+  private applyDemand(
     configured: Omit<EnginePlanInput, 'usual'>,
     domains: readonly number[],
   ): EnginePlanInput {
-    const {desk, events} = this.options;
+    const {gateways, events} = this.options;
     const {pool} = configured;
-    const follower = this.followers.get(pool) ?? DemandFollower.create();
-    this.followers.set(pool, follower);
-    const demand = desk.computeDemand();
+    const follower = this.shareAdjusters.get(pool) ?? DemandFollower.create();
+    this.shareAdjusters.set(pool, follower);
+    const demand = gateways.computeDemand();
     const {input, shifted} = splitHosts({
       follower,
       input: configured,
@@ -183,7 +187,7 @@
         type: 'hosts-shifted',
         subject: 'group',
         id: pool,
-        reason: `${to} has more late answers for want of hosts than a move from ${from} costs`,
+        reason: `${to} misses more objectives for lack of hosts than a move of hosts from ${from} would cost`,
         details: {
           missed: Math.round(missed),
           ...Object.fromEntries(
@@ -199,27 +203,30 @@
     return input;
   }
 
-  /** The first groups are planned once, with every host: no more are coming in. */
+  /** The first groups are planned only once no more hosts appear, so that each host has its part. */
   private isSettled(backends: readonly BackendView[], now: number): boolean {
     const newest = Math.max(...backends.map(view => view.firstSeenAt));
-    return now - newest > this.options.duties.heartbeatMs * SETTLED_INTERVALS;
+    return (
+      now - newest > this.options.poolSettings.heartbeatMs * SETTLED_INTERVALS
+    );
   }
 
-  /** Members that were told to leave still have the weights in memory. */
-  private recordHeld(groups: readonly EngineGroup[]): void {
+  /** Members of an ending group still have the weights of its model in memory. */
+  private recordHeldModels(groups: readonly EngineGroup[]): void {
     const {registry} = this.options;
     for (const {members, model} of groups.filter(group => group.isEnding)) {
       members.forEach(({incarnation}) =>
-        registry.recordHeld(incarnation, model),
+        registry.recordHeldModel(incarnation, model),
       );
     }
   }
 
-  private listWell(backends: readonly BackendView[]): BackendView[] {
+  private listHealthy(backends: readonly BackendView[]): BackendView[] {
     const {engines} = this.options.runtime.state;
     return backends.filter(
       ({registration: {incarnation}}) =>
-        !engines.isRetired(incarnation) && !this.health.isLost(incarnation),
+        !engines.isRetired(incarnation) &&
+        !this.failureDetector.isLost(incarnation),
     );
   }
 
@@ -228,9 +235,9 @@
     const time = Date.now();
     const commands = actions.flatMap(action => createCommand(action, time));
     for (const command of commands) {
-      const isSetting = command.type === 'set-engine-group';
-      const id = isSetting ? command.group.name : command.name;
-      const details: Record<string, string | number> = isSetting
+      const isSet = command.type === 'set-engine-group';
+      const id = isSet ? command.group.name : command.name;
+      const details: Record<string, string | number> = isSet
         ? {
             members: listMemberNames(command.group).join(' '),
             domain: command.group.domain,
@@ -240,12 +247,12 @@
       events.record({type, subject: 'group', id, reason, details});
     }
     const proposals = commands.map(command => runtime.propose(command));
-    // A change that fails is planned again; the loss of the lead is recorded elsewhere.
+    // The next plan repeats a failed change; losing leadership is recorded elsewhere.
     await Promise.all(proposals).catch(() => undefined);
   }
 }
 
-function isEmpty({registration, heldModel}: BackendView): boolean {
+function hasNoWeights({registration, heldModel}: BackendView): boolean {
   return heldModel === undefined && registration.stagedModels.length === 0;
 }
 
@@ -260,7 +267,7 @@
   }
 >;
 
-const COMMANDS = {
+const COMMAND_TYPES = {
   'end-group': 'end-engine-group',
   'release-group': 'release-engine-group',
   'remove-group': 'remove-engine-group',
@@ -272,10 +279,10 @@
   }
   const {reason} = action;
   if (action.type === 'set-group') {
-    // The epoch is the place in the log, known when it is committed.
+    // The epoch is the log index, assigned on commit.
     const group = {...action.group, epoch: 0};
     return [{type: 'set-engine-group', time, group, reason}];
   }
   const {name, epoch} = action;
-  return [{type: COMMANDS[action.type], time, name, epoch, reason}];
+  return [{type: COMMAND_TYPES[action.type], time, name, epoch, reason}];
 }
--- a/src/control/fleet.ts
+++ b/src/control/fleet.ts
@@ -1,14 +1,15 @@
-/** What the leader has heard from hosts and entries lately; never replicated. */
+/** The leader's view of host and entry processes, from their reports; not replicated. */
 import {HostView} from '../coordination/groups/host_view';
 import {HostReport} from '../protocol/host_report';
 
-/** Silence after which a host or entry no longer counts as part of the fleet. */
-const FORGET_AFTER_MS = 10 * 60_000;
-const PRESENT_MS = 5_000;
-/** A gap between two reports that counts as one loss of the host. */
+/** Silence after which a host or entry is removed, and the age up to which losses of a host count. */
+const RETENTION_MS = 10 * 60_000;
+/** Silence after which an entry no longer counts as running. */
+const ENTRY_TIMEOUT_MS = 5_000;
+/** A longer gap between two reports counts as a loss of the host. */
 const LOSS_GAP_MS = 1_500;
 
-/** An entry process as last heard. */
+/** The newest report of an entry process. */
 interface EntryView {
   readonly entryId: string;
   readonly bundleVersion: number;
@@ -19,13 +20,13 @@
   report: HostReport;
   seenAt: number;
   missingSince: number | undefined;
-  /** When it was lost, newest last. */
+  /** Times of its losses, newest last. */
   losses: number[];
-  /** Members that its newest report named as missing. */
-  namedMissing: readonly string[];
+  /** Members that its newest report lists as missing. */
+  reportedMissing: readonly string[];
 }
 
-/** Reports of host and entry processes, newest of each, and how often hosts were lost. */
+/** Keeps the newest report of each host and entry process, and how often each host was lost. */
 export class Fleet {
   private readonly hosts = new Map<string, HostRecord>();
   private readonly entries = new Map<string, EntryView>();
@@ -49,7 +50,7 @@
       seenAt: now,
       missingSince: undefined,
       losses: [],
-      namedMissing: [],
+      reportedMissing: [],
     };
     const isOtherProcess = record.report.incarnation !== report.incarnation;
     if (isOtherProcess || now - record.seenAt > LOSS_GAP_MS) {
@@ -65,12 +66,12 @@
     this.entries.set(entryId, {entryId, bundleVersion, seenAt: now});
   }
 
-  /** Hosts heard within the last minutes. */
+  /** Hosts that reported within the retention time. */
   listHosts(now: number, isDrained: (hostId: string) => boolean): HostView[] {
-    removeOld(this.hosts, now);
+    removeExpired(this.hosts, now);
     return [...this.hosts.values()].map(
       ({report, seenAt, missingSince, losses}) => {
-        const recent = losses.filter(at => now - at < FORGET_AFTER_MS);
+        const recent = losses.filter(at => now - at < RETENTION_MS);
         return {
           report,
           seenAt,
@@ -83,42 +84,45 @@
     );
   }
 
-  /** Entries heard within the last seconds. */
+  /** Entries that count as running. */
   listEntries(now: number): EntryView[] {
-    removeOld(this.entries, now);
+    removeExpired(this.entries, now);
     return [...this.entries.values()].filter(
-      entry => now - entry.seenAt <= PRESENT_MS,
+      entry => now - entry.seenAt <= ENTRY_TIMEOUT_MS,
     );
   }
 
-  /** Forgets everything: a new leader starts by listening. */
+  /** Removes all reports: a new leader starts without any. */
   clear(): void {
     this.hosts.clear();
     this.entries.clear();
   }
 
-  /** A first member names the members that it does not hear; nobody else knows. */
+  /** Only the first member of a group can tell which other members it doesn't hear. */
   private recordMissing(record: HostRecord, now: number): void {
     const {missing} = record.report;
-    for (const hostId of record.namedMissing) {
-      const named = this.hosts.get(hostId);
-      if (named && !missing.includes(hostId)) {
-        named.missingSince = undefined;
+    for (const hostId of record.reportedMissing) {
+      const member = this.hosts.get(hostId);
+      if (member && !missing.includes(hostId)) {
+        member.missingSince = undefined;
       }
     }
     for (const hostId of missing) {
-      const named = this.hosts.get(hostId);
-      if (named) {
-        named.missingSince ??= now;
+      const member = this.hosts.get(hostId);
+      if (member) {
+        member.missingSince ??= now;
       }
     }
-    record.namedMissing = missing;
+    record.reportedMissing = missing;
   }
 }
 
-function removeOld(views: Map<string, {seenAt: number}>, now: number): void {
+function removeExpired(
+  views: Map<string, {seenAt: number}>,
+  now: number,
+): void {
   for (const [id, view] of views) {
-    if (now - view.seenAt > FORGET_AFTER_MS) {
+    if (now - view.seenAt > RETENTION_MS) {
       views.delete(id);
     }
   }
--- a/src/control/gateway_service.ts
+++ b/src/control/gateway_service.ts
@@ -1,4 +1,4 @@
-/** The leader's answers to gateways, to operators on a channel and to backend servers. */
+/** Serves the calls of gateways, of trusted rules channels and of backend servers on the leader. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {ChannelBundle} from '../protocol/channel_bundle';
@@ -19,29 +19,29 @@
 import {RegistrationService} from './registration_service';
 import {TargetTable} from './target_table';
 
-/** How long a gateway's question is held while there is nothing new to tell. */
-const HOLD_MS = 250;
-/** Silence after which a gateway no longer counts. */
-const GATEWAY_PRESENT_MS = 3_000;
-/** What a gateway says about a backend server counts for this long. */
-const WORD_MS = 2_000;
+/** Long polling: a gateway's request is held this long while it has seen every update. */
+const LONG_POLL_MS = 250;
+/** Silence after which a gateway no longer counts as running. */
+const GATEWAY_TIMEOUT_MS = 3_000;
+/** A gateway's report on a backend server or a model is valid for this long. */
+const REPORT_VALID_MS = 2_000;
 /**
- * Changes that come within this are told together: a group that ends is some ten of
- * them. It is short beside the 300 ms that an engine takes to open.
+ * Changes within this time are sent to gateways in one update: the end of a group makes
+ * about ten of them. The delay is short beside the 300 ms that an engine takes to open.
  */
-const JOIN_MS = 5;
+const BATCH_MS = 5;
 
-type Ask<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
-/** What a gateway last said. */
-interface GatewayWord {
+/** The newest report of a gateway. */
+interface GatewayReport {
   readonly seenAt: number;
   readonly running: Readonly<Record<string, number>>;
   readonly demand: Readonly<Record<string, ModelDemand>>;
 }
 
-/** What the desk works on. */
-interface GatewayDeskOptions {
+/** Dependencies of the service. */
+interface GatewayServiceOptions {
   readonly settings: ControlSettings;
   readonly runtime: RaftRuntime;
   readonly registry: BackendRegistry;
@@ -51,72 +51,82 @@
   readonly identity: string;
 }
 
-/** Answers calls; the caller makes sure that this process leads. */
+/**
+ * Serves gateways with rules, routing targets and limits, and combines what they report.
+ * Its caller checks that this process leads.
+ */
 export class GatewayService {
-  private readonly gateways = new Map<string, GatewayWord>();
-  /** When a gateway last said so, by incarnation. */
+  private readonly gateways = new Map<string, GatewayReport>();
+  /** When a gateway last reported a backend server as stalled, by incarnation. */
   private readonly stalledAt = new Map<string, number>();
-  /** When bytes of its answers last came to a gateway, by incarnation. */
-  private readonly heardAt = new Map<string, number>();
-  /** When a gateway last lacked places, by model. */
-  private readonly pressedAt = new Map<string, number>();
+  /** When a gateway last received response bytes from a backend server, by incarnation. */
+  private readonly lastActivityAt = new Map<string, number>();
+  /** When a gateway last refused requests for lack of free slots, by model. */
+  private readonly saturatedAt = new Map<string, number>();
   private expiredAt = -Infinity;
   private hasServedRequests = false;
-  /** Changes that are written and not committed yet. */
-  private readonly underWay: Array<
-    ChannelBundle & {readonly written: Promise<CommandResult>}
+  /** Bundles that were proposed to the replicated log and are not committed yet. */
+  private readonly pendingBundles: Array<
+    ChannelBundle & {readonly committed: Promise<CommandResult>}
   > = [];
   private readonly registrations: RegistrationService;
-  private readonly table: TargetTable;
+  private readonly targets: TargetTable;
   private readonly limits: RateLimitService;
   private readonly encodedRules = EncodedRulesCache.create();
-  /** Requests of all gateways, by incarnation. */
+  /** Running requests of all gateways together, by incarnation. */
   private readonly running = new Map<string, number>();
-  private readonly joinedChanges = ChangeSignal.create();
-  private isJoining = false;
+  private readonly batchedChanges = ChangeSignal.create();
+  private isBatchPending = false;
 
-  private constructor(private readonly options: GatewayDeskOptions) {
+  private constructor(private readonly options: GatewayServiceOptions) {
     const {registry, runtime, identity, signal} = options;
     const leaderName = splitIdentity(identity).name;
-    this.table = TargetTable.create({registry, runtime, leaderName});
-    const announce = () => this.announce();
-    this.limits = RateLimitService.create({...options, leaderName, announce});
-    signal.subscribe(() => this.joinChanges());
-    this.registrations = RegistrationService.create({...options, announce});
+    this.targets = TargetTable.create({registry, runtime, leaderName});
+    const notifyGateways = () => this.notifyGateways();
+    this.limits = RateLimitService.create({
+      ...options,
+      leaderName,
+      notifyGateways,
+    });
+    signal.subscribe(() => this.scheduleNotification());
+    this.registrations = RegistrationService.create({
+      ...options,
+      notifyGateways,
+    });
     this.handlers = {...this.createHandlers(), ...this.limits.handlers};
   }
 
   /**
-   * Creates a desk that knows no gateway.
+   * Creates a service without any gateways' reports.
    *
    * @example
-   * const desk = GatewayDesk.create({settings, runtime, registry, clock, signal, identity});
+   * const service = GatewayService.create({settings, runtime, registry, clock, signal, events, identity});
    */
-  static create(options: GatewayDeskOptions): GatewayService {
+  static create(options: GatewayServiceOptions): GatewayService {
     return new GatewayService(options);
   }
 
-  /** True once a gateway took a caller's request. */
+  /** True once a gateway has reported that it received a caller's request. */
   get hasServed(): boolean {
     return this.hasServedRequests;
   }
 
-  /** Some gateway says that this backend server stopped answering. */
-  isStalled(incarnation: string): boolean {
+  /** True if a gateway reported lately that this backend server stopped sending. */
+  isReportedStalled(incarnation: string): boolean {
     return this.isRecent(this.stalledAt.get(incarnation));
   }
 
-  /** When bytes of its answers last came to any gateway, as far as they told. */
-  findHeardAt(incarnation: string): number {
-    return this.heardAt.get(incarnation) ?? -Infinity;
+  /** When any gateway last received response bytes from it; -Infinity if none reported that. */
+  findLastActivityAt(incarnation: string): number {
+    return this.lastActivityAt.get(incarnation) ?? -Infinity;
   }
 
-  /** Some gateway refused requests for want of a place at this model. */
-  isPressed(model: string): boolean {
-    return this.isRecent(this.pressedAt.get(model));
+  /** True if a gateway lately refused requests because no slot of this model was free. */
+  isSaturated(model: string): boolean {
+    return this.isRecent(this.saturatedAt.get(model));
   }
 
-  /** What callers of all gateways ask for, by model. */
+  /** The demand of all gateways' callers together, by model. */
   computeDemand(): Record<string, ModelDemand> {
     const sums: Record<string, ModelDemand> = {};
     for (const {demand} of this.gateways.values()) {
@@ -127,68 +137,69 @@
     return sums;
   }
 
-  /** Wakes the gateways that wait for news. */
-  announce(): void {
-    this.options.signal.announce();
+  /** Ends the long polls of gateways, so that they get the newest state. */
+  notifyGateways(): void {
+    this.options.signal.notify();
   }
 
   readonly handlers;
 
   private createHandlers() {
     return {
-      'channel-bundle-ask': (ask: Ask<'channel-bundle-ask'>) =>
-        this.acceptBundle(ask),
-      'source-ask': ({call}: Ask<'source-ask'>): ControlMessage => {
+      'channel-bundle-ask': (request: RequestOf<'channel-bundle-ask'>) =>
+        this.acceptBundle(request),
+      'source-ask': ({call}: RequestOf<'source-ask'>): ControlMessage => {
         const source = this.options.runtime.state.channel.source ?? null;
         return {type: 'source-answer', call, source};
       },
-      'registration-ask': (ask: Ask<'registration-ask'>) =>
-        this.registrations.register(ask),
-      'departure-ask': (ask: Ask<'departure-ask'>) =>
-        this.registrations.depart(ask),
-      'leaving-ask': (ask: Ask<'leaving-ask'>) =>
-        this.registrations.recordLeaving(ask),
-      'gateway-ask': (ask: Ask<'gateway-ask'>) => this.answerGateway(ask),
+      'registration-ask': (request: RequestOf<'registration-ask'>) =>
+        this.registrations.register(request),
+      'departure-ask': (request: RequestOf<'departure-ask'>) =>
+        this.registrations.depart(request),
+      'leaving-ask': (request: RequestOf<'leaving-ask'>) =>
+        this.registrations.recordLeaving(request),
+      'gateway-ask': (request: RequestOf<'gateway-ask'>) =>
+        this.answerGateway(request),
     };
   }
 
   private async acceptBundle({
     call,
     bundle,
-  }: Ask<'channel-bundle-ask'>): Promise<ControlMessage> {
+  }: RequestOf<'channel-bundle-ask'>): Promise<ControlMessage> {
     const {settings, runtime, clock} = this.options;
     const startedAt = clock.now();
     if (!settings.trustedChannels?.includes(bundle.channel)) {
       throw new ControlError('the channel %s is not trusted', bundle.channel);
     }
-    const wrong = findWrongRules(bundle);
-    if (wrong !== undefined) {
+    const problem = findProblem(bundle);
+    if (problem !== undefined) {
       const {version} = runtime.state.channel;
-      this.recordBundle(bundle, 'bundle-refused', wrong, startedAt);
-      return {type: 'channel-bundle-answer', call, version, reason: wrong};
+      this.recordBundle(bundle, 'bundle-refused', problem, startedAt);
+      return {type: 'channel-bundle-answer', call, version, reason: problem};
     }
-    const reason = await this.writeOnce(bundle);
+    const reason = await this.commitOnce(bundle);
     const {version} = runtime.state.channel;
     this.recordBundle(bundle, 'bundle-taken', reason, startedAt);
     return {type: 'channel-bundle-answer', call, version, reason};
   }
 
-  /** One change that came in several calls makes one entry of the log, not one for each. */
-  private async writeOnce(bundle: ChannelBundle): Promise<string> {
+  /** Calls that carry the same bundle share one entry of the replicated log. */
+  private async commitOnce(bundle: ChannelBundle): Promise<string> {
     const {runtime} = this.options;
     const {version} = bundle.rules;
     const inForce = runtime.state.channel.version;
     if (version <= inForce) {
       return `version ${inForce} is in force, so ${version} changes nothing`;
     }
-    const known = this.underWay.find(
+    const pending = this.pendingBundles.find(
       ({source, channel, rules}) =>
         rules.version === version &&
         channel === bundle.channel &&
         source === bundle.source,
     );
-    if (known) {
-      return (await known.written).reason;
+    if (pending) {
+      return (await pending.committed).reason;
     }
     checkDurability(this.options);
     const command = {
@@ -196,12 +207,12 @@
       time: Date.now(),
       bundle,
     };
-    const change = {...bundle, written: runtime.propose(command)};
-    this.underWay.push(change);
+    const proposal = {...bundle, committed: runtime.propose(command)};
+    this.pendingBundles.push(proposal);
     try {
-      return (await change.written).reason;
+      return (await proposal.committed).reason;
     } finally {
-      this.underWay.splice(this.underWay.indexOf(change), 1);
+      this.pendingBundles.splice(this.pendingBundles.indexOf(proposal), 1);
     }
   }
 
@@ -225,75 +236,83 @@
   }
 
   private async answerGateway(
-    ask: Ask<'gateway-ask'>,
+    request: RequestOf<'gateway-ask'>,
   ): Promise<ControlMessage> {
     const {runtime, clock} = this.options;
-    this.recordWord(ask, clock.now());
-    if (!ask.isUrgent) {
-      await this.waitForNews(ask);
+    this.recordReport(request, clock.now());
+    if (!request.isUrgent) {
+      await this.waitForUpdate(request);
     }
     const {raft, state} = runtime;
     const now = clock.now();
-    const tag = this.table.readTag(now);
-    const isNewTable = ask.tableTag !== tag;
-    const isNewRules = ask.rulesVersion !== state.channel.version;
+    const tag = this.targets.readTag(now);
+    const hasNewTargets = request.tableTag !== tag;
+    const hasNewRules = request.rulesVersion !== state.channel.version;
     const {suspects} = state;
-    const {suspectsVersion = 0, limitsTag} = ask;
+    const {suspectsVersion = 0, limitsTag} = request;
     const newLimitsTag = this.limits.readTag();
-    const isNewList = suspectsVersion !== suspects.version;
+    const hasNewSuspects = suspectsVersion !== suspects.version;
     return {
       type: 'gateway-answer',
-      call: ask.call,
+      call: request.call,
       rulesVersion: state.channel.version,
-      rules: isNewRules
-        ? this.encodedRules.read(state.channel.rules)
+      rules: hasNewRules
+        ? this.encodedRules.get(state.channel.rules)
         : undefined,
       tableTag: tag,
-      ...(isNewTable ? this.table.describeSince(ask.tableTag, now) : {}),
-      isComplete: this.table.isComplete(now),
-      runningElsewhere: this.countRunning(ask.gatewayId),
+      ...(hasNewTargets
+        ? this.targets.describeChangesSince(request.tableTag, now)
+        : {}),
+      isComplete: this.targets.isComplete(now),
+      runningElsewhere: this.countRunningElsewhere(request.gatewayId),
       gateways: Math.max(1, this.gateways.size),
       control: [...raft.listVotersAt(raft.commitIndex).keys()],
-      suspects: isNewList ? suspects.describeSince(suspectsVersion) : undefined,
+      suspects: hasNewSuspects
+        ? suspects.describeSince(suspectsVersion)
+        : undefined,
       limitsTag: newLimitsTag,
       limits:
         limitsTag === undefined || limitsTag === newLimitsTag
           ? undefined
-          : this.limits.describeSince(limitsTag),
+          : this.limits.listChangesSince(limitsTag),
     };
   }
 
-  /** Holds a question until there is something new for its asker, or for as long as it may be held. */
-  private async waitForNews(ask: Ask<'gateway-ask'>): Promise<void> {
+  /** Holds a long poll until there is an update for its gateway, at most `LONG_POLL_MS`. */
+  private async waitForUpdate(
+    request: RequestOf<'gateway-ask'>,
+  ): Promise<void> {
     const {runtime, clock} = this.options;
-    const until = clock.now() + HOLD_MS;
+    const deadline = clock.now() + LONG_POLL_MS;
     for (;;) {
       const now = clock.now();
       const isUpToDate =
-        ask.rulesVersion === runtime.state.channel.version &&
-        (ask.suspectsVersion ?? 0) === runtime.state.suspects.version &&
-        (ask.limitsTag ?? this.limits.readTag()) === this.limits.readTag() &&
-        ask.tableTag === this.table.readTag(now);
-      if (!isUpToDate || now >= until) {
+        request.rulesVersion === runtime.state.channel.version &&
+        (request.suspectsVersion ?? 0) === runtime.state.suspects.version &&
+        (request.limitsTag ?? this.limits.readTag()) ===
+          this.limits.readTag() &&
+        request.tableTag === this.targets.readTag(now);
+      if (!isUpToDate || now >= deadline) {
         return;
       }
-      await this.joinedChanges.waitForChange(until - now);
+      await this.batchedChanges.waitForChange(deadline - now);
     }
   }
 
-  private joinChanges(): void {
-    if (this.isJoining) {
+  private scheduleNotification(): void {
+    if (this.isBatchPending) {
       return;
     }
-    this.isJoining = true;
+    this.isBatchPending = true;
     setTimeout(() => {
-      this.isJoining = false;
-      this.joinedChanges.announce();
-    }, JOIN_MS);
+      this.isBatchPending = false;
+      this.batchedChanges.notify();
+    }, BATCH_MS);
   }
 
-  private countRunning(exceptId: string): Record<string, number> {
-    const own = this.gateways.get(exceptId)?.running ?? {};
+  /** Running requests of the other gateways, by incarnation. */
+  private countRunningElsewhere(gatewayId: string): Record<string, number> {
+    const own = this.gateways.get(gatewayId)?.running ?? {};
     const elsewhere: Record<string, number> = {};
     for (const [incarnation, count] of this.running) {
       const others = count - (own[incarnation] ?? 0);
@@ -304,9 +323,9 @@
     return elsewhere;
   }
 
-  /** Takes what one gateway has running out of the sums, or puts it in. */
-  private addRunning(word: GatewayWord | undefined, sign: 1 | -1): void {
-    for (const [incarnation, count] of Object.entries(word?.running ?? {})) {
+  /** Adds the running requests of one gateway to the sums, or subtracts them. */
+  private addRunning(report: GatewayReport | undefined, sign: 1 | -1): void {
+    for (const [incarnation, count] of Object.entries(report?.running ?? {})) {
       const sum = (this.running.get(incarnation) ?? 0) + sign * count;
       if (sum > 0) {
         this.running.set(incarnation, sum);
@@ -316,52 +335,58 @@
     }
   }
 
-  private recordWord(ask: Ask<'gateway-ask'>, now: number): void {
-    const {gatewayId, running, demand = {}} = ask;
-    const word = {seenAt: now, running, demand};
+  private recordReport(request: RequestOf<'gateway-ask'>, now: number): void {
+    const {gatewayId, running, demand = {}} = request;
+    const report = {seenAt: now, running, demand};
     this.addRunning(this.gateways.get(gatewayId), -1);
-    this.addRunning(word, 1);
-    this.gateways.set(gatewayId, word);
-    for (const [id, silent] of this.gateways) {
-      if (now - silent.seenAt > GATEWAY_PRESENT_MS) {
-        this.addRunning(silent, -1);
+    this.addRunning(report, 1);
+    this.gateways.set(gatewayId, report);
+    for (const [id, other] of this.gateways) {
+      if (now - other.seenAt > GATEWAY_TIMEOUT_MS) {
+        this.addRunning(other, -1);
         this.gateways.delete(id);
       }
     }
-    ask.stalled.forEach(incarnation => this.stalledAt.set(incarnation, now));
-    ask.answering.forEach((incarnation, at) => {
-      // A gateway of an older version tells only that it heard it lately.
-      const msAgo = ask.answeringMsAgo?.[at] ?? 0;
-      const heardAt = Math.max(this.findHeardAt(incarnation), now - msAgo);
-      this.heardAt.set(incarnation, heardAt);
+    request.stalled.forEach(incarnation =>
+      this.stalledAt.set(incarnation, now),
+    );
+    request.answering.forEach((incarnation, at) => {
+      // Gateways of older versions report recent activity without its age.
+      const msAgo = request.answeringMsAgo?.[at] ?? 0;
+      const lastActivityAt = Math.max(
+        this.findLastActivityAt(incarnation),
+        now - msAgo,
+      );
+      this.lastActivityAt.set(incarnation, lastActivityAt);
     });
-    this.limits.recordWords(gatewayId, ask.limits ?? []);
-    ask.pressed.forEach(model => this.pressedAt.set(model, now));
-    this.hasServedRequests ||= ask.hasServed;
-    this.expireWords(now);
+    this.limits.recordReports(gatewayId, request.limits ?? []);
+    request.pressed.forEach(model => this.saturatedAt.set(model, now));
+    this.hasServedRequests ||= request.hasServed;
+    this.expireReports(now);
   }
 
-  /** Backend servers come and go for as long as this process leads. */
-  private expireWords(now: number): void {
-    if (now - this.expiredAt < WORD_MS) {
+  /** Drops old reports, since incarnations change for as long as this process leads. */
+  private expireReports(now: number): void {
+    if (now - this.expiredAt < REPORT_VALID_MS) {
       return;
     }
     this.expiredAt = now;
-    for (const words of [this.stalledAt, this.heardAt]) {
-      for (const [incarnation, at] of words) {
-        if (now - at > WORD_MS) {
-          words.delete(incarnation);
+    for (const reports of [this.stalledAt, this.lastActivityAt]) {
+      for (const [incarnation, at] of reports) {
+        if (now - at > REPORT_VALID_MS) {
+          reports.delete(incarnation);
         }
       }
     }
   }
 
   private isRecent(at: number | undefined): boolean {
-    return at !== undefined && this.options.clock.now() - at < WORD_MS;
+    return at !== undefined && this.options.clock.now() - at < REPORT_VALID_MS;
   }
 }
 
-function findWrongRules({rules}: ChannelBundle): string | undefined {
+/** Why the rules of a bundle are invalid; undefined if they are valid. */
+function findProblem({rules}: ChannelBundle): string | undefined {
   try {
     checkGatewayRules(rules);
     return undefined;
--- a/src/control/head_stop_detector.ts
+++ b/src/control/head_stop_detector.ts
@@ -1,14 +1,15 @@
-/** Proves that a silent head counts on no member any more. */
+/** Decides when the unreachable head of a group has certainly stopped using its members. */
 import {EngineGroup} from '../protocol/engine_group';
 import {BackendRegistry} from './backend_registry';
 
-/** Beyond the time after which a stalled head is broken, for messages on their way. */
+/** Added to the stall timeout of a head, for messages in flight. */
 const MARGIN_MS = 500;
 
 /**
- * Remembers since when each group is marked as left by a member. It runs on
- * every control process, so that a new leader need not start to count anew; a
- * process that learns of the mark late counts from then, which is safe.
+ * Tracks since when each group has been marked as released, which means that a member
+ * left it. A head that lacks a member stalls, and reports itself as broken after the
+ * stall timeout. All control processes track this, so that a new leader doesn't have to
+ * start over; one that learns of the mark late counts from then, which is safe.
  */
 export class HeadStopDetector {
   private readonly releasedAt = new Map<string, number>();
@@ -19,17 +20,17 @@
   ) {}
 
   /**
-   * Creates a memory that knows of no departure.
+   * Creates a detector without any released groups.
    *
-   * @param stallMs how long a head stalls before it is broken
+   * @param stallMs time for which a head stalls before it reports itself as broken
    * @example
-   * const release = HeadRelease.create(registry, 5000);
+   * const detector = HeadStopDetector.create(registry, 5000);
    */
   static create(registry: BackendRegistry, stallMs: number): HeadStopDetector {
     return new HeadStopDetector(registry, stallMs);
   }
 
-  /** Looks which groups are marked. */
+  /** Records which groups are marked as released. */
   refresh(groups: readonly EngineGroup[], now: number): void {
     const released = groups.filter(group => group.isReleased).map(createKey);
     for (const key of this.releasedAt.keys()) {
@@ -42,8 +43,8 @@
     }
   }
 
-  /** True once the head must be broken, or is another start by now. */
-  isLetGo(group: EngineGroup, now: number): boolean {
+  /** True once the stall timeout of the head is over, or another process has replaced the head. */
+  isHeadStopped(group: EngineGroup, now: number): boolean {
     const [head] = group.members;
     const isReplaced = this.registry
       .list()
@@ -57,12 +58,13 @@
     return isReplaced || now - releasedAt > this.stallMs + MARGIN_MS;
   }
 
-  /** True when a member says by its own word that it is elsewhere. */
-  hasLeaver(group: EngineGroup): boolean {
+  /** True if the registration of a member other than the head shows that it isn't in this group. */
+  hasDepartedMember(group: EngineGroup): boolean {
     return group.members.slice(1).some(({incarnation}) => {
       const view = this.registry.find(incarnation);
-      const told = view?.registration.group;
-      const isMember = told?.name === group.name && told.epoch === group.epoch;
+      const reported = view?.registration.group;
+      const isMember =
+        reported?.name === group.name && reported.epoch === group.epoch;
       return view !== undefined && !isMember;
     });
   }
--- a/src/control/host_group_planner_loop.ts
+++ b/src/control/host_group_planner_loop.ts
@@ -1,4 +1,4 @@
-/** Lets the leader plan groups again and again. */
+/** Periodically plans the groups of hosts and proposes the changes while this process leads. */
 import {Clock} from '../common/clock';
 import {planGroups} from '../coordination/groups/plan_groups';
 import {planStandby} from '../coordination/groups/plan_standby';
@@ -6,17 +6,17 @@
 import {RaftRuntime} from './raft_runtime';
 
 const PLAN_EVERY_MS = 100;
-/** A new leader first listens, so that it does not take silence for loss. */
-const LISTEN_FIRST_MS = 2_000;
+/** A new leader first collects reports, so that it doesn't take hosts it hasn't heard yet for lost. */
+const INITIAL_LISTEN_MS = 2_000;
 
-/** What the loop works on. */
-interface PlannerLoopOptions {
+/** Dependencies of the loop. */
+interface HostGroupPlannerLoopOptions {
   readonly runtime: RaftRuntime;
   readonly fleet: Fleet;
   readonly clock: Clock;
 }
 
-/** Plans while this process leads. */
+/** Reconciles groups of hosts with the bundle in force. */
 export class HostGroupPlannerLoop {
   private readonly timer: NodeJS.Timeout;
   private leadingSince = 0;
@@ -24,7 +24,7 @@
   private isCommitting = false;
   private standby: ReadonlyMap<string, string> = new Map();
 
-  private constructor(private readonly options: PlannerLoopOptions) {
+  private constructor(private readonly options: HostGroupPlannerLoopOptions) {
     this.timer = setInterval(() => void this.run(), PLAN_EVERY_MS);
   }
 
@@ -32,13 +32,13 @@
    * Starts the loop.
    *
    * @example
-   * const planner = PlannerLoop.create({runtime, fleet, clock});
+   * const planner = HostGroupPlannerLoop.create({runtime, fleet, clock});
    */
-  static create(options: PlannerLoopOptions): HostGroupPlannerLoop {
+  static create(options: HostGroupPlannerLoopOptions): HostGroupPlannerLoop {
     return new HostGroupPlannerLoop(options);
   }
 
-  /** The model that a free host should load in advance. */
+  /** The model that a host without a group should preload; null for none. */
   findStandby(hostId: string): string | null {
     return this.standby.get(hostId) ?? null;
   }
@@ -57,7 +57,7 @@
       this.leadingTerm = runtime.raft.term;
       this.leadingSince = now;
     }
-    if (now - this.leadingSince < LISTEN_FIRST_MS) {
+    if (now - this.leadingSince < INITIAL_LISTEN_MS) {
       return;
     }
     this.isCommitting = true;
--- a/src/control/order_dispatcher.ts
+++ b/src/control/order_dispatcher.ts
@@ -1,4 +1,4 @@
-/** Gives the plan's orders to engines: one at a time to each, loads within the pool's limits. */
+/** Sends the planner's orders to engines: one at a time to each, loads within the pool's limits. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {EngineAction} from '../coordination/groups/engine_action';
@@ -11,37 +11,40 @@
 import {TokenBucket} from './token_bucket';
 import {RaftRuntime} from './raft_runtime';
 
-/** An order that was taken shows in a registration; longer silence asks again. */
+/**
+ * Time by outcome until the same order is sent again. The effect of an accepted order
+ * shows in the engine's registrations; the order is repeated if it doesn't.
+ */
 const RETRY_MS = {
   begun: 3_000,
   holds: 1_000,
-  // An engine tells its count of orders some 200 ms late, and expects the right one.
+  // The count of orders in an engine's registration is about 200 ms old, and orders with an outdated one are refused.
   unfit: 200,
-  // Should the first one be carried out late, it expects an older count and loses.
+  // If the first attempt is carried out later, its order count is outdated and the engine refuses it.
   unanswered: 100,
   fenced: 30_000,
 };
-/** A closing engine that leaves says nothing when it is done, so it is asked. */
-const CLOSE_CHECK_MS = 250;
-/** Loads slow each other down; longer than this one has been lost. */
-const SLOW_LOAD = 2;
-/** Margin below the pool's limit on loads, for those of a leader before. */
+/** An engine that is leaving doesn't report when it has closed, so it is polled. */
+const CLOSE_POLL_MS = 250;
+/** Concurrent loads slow each other down; one that exceeds its expected time by this factor is taken for lost. */
+const LOAD_TIMEOUT_FACTOR = 2;
+/** Part of the pool's load rate that is used, which leaves room for loads that the previous leader started. */
 const SERVING_LOAD_FACTOR = 0.9;
-/** Part of the loads that run at full speed which second copies may take: hosts without any weights come first. */
+/** Part of the concurrent loads available to second copies: hosts without any weights come first. */
 const SECOND_COPY_SHARE = 0.5;
-/** Before the first request many hosts load at once, each the slower for it. */
+/** Before the first request, many hosts may load at once although each load is slower then. */
 const EARLY_LOAD_FACTOR = 3;
 
 type Answer = Awaited<ReturnType<EngineOrders['send']>>;
 type Outcome = Answer['outcome'];
 type Order = Extract<EngineAction, {type: 'order'}>;
 
-/** An order that was given. */
+/** The last order to an engine. */
 interface LastOrder {
   readonly key: string;
-  /** When the same order may be given again. */
-  againAt: number;
-  /** No answer came yet. */
+  /** When the same order may be sent again. */
+  retryAt: number;
+  /** Its answer is outstanding. */
   isPending: boolean;
 }
 
@@ -49,59 +52,59 @@
 interface Load {
   readonly model: string;
   readonly endsAt: number;
-  /** The host has another model already. */
+  /** The host already has the weights of another model. */
   readonly isSecondCopy: boolean;
 }
 
-/** What orders are given with. */
+/** Dependencies of the dispatcher. */
 interface OrderDispatcherOptions {
-  readonly duties: NonNullable<ControlSettings['pools']>;
+  readonly poolSettings: NonNullable<ControlSettings['pools']>;
   readonly runtime: RaftRuntime;
   readonly registry: BackendRegistry;
-  readonly desk: Pick<GatewayService, 'hasServed'>;
+  readonly gateways: Pick<GatewayService, 'hasServed'>;
   readonly clock: Clock;
   readonly events: EventRing;
 }
 
-/** Remembers the newest order to each engine. */
+/** Sends orders, and keeps the last one to each engine until its effect shows. */
 export class OrderDispatcher {
-  /** The newest order about groups, and the newest about copies, to each engine. */
+  /** The last order about groups and the last about copies of weights, by incarnation. */
   private readonly lastOrders = {
     group: new Map<string, LastOrder>(),
     copy: new Map<string, LastOrder>(),
   };
-  /** The loads that were ordered, and when each should be done, by incarnation. */
+  /** Loads in progress, by incarnation. */
   private readonly loads = new Map<string, Load>();
-  /** Orders that each engine took, by what its answers said. */
+  /** Number of orders that each engine has accepted according to its answers, by incarnation. */
   private readonly ordersTaken = new Map<string, number>();
-  private readonly allowance: TokenBucket;
-  private wasServing = false;
+  private readonly loadBucket: TokenBucket;
+  private hadServed = false;
 
   private constructor(private readonly options: OrderDispatcherOptions) {
-    this.allowance = TokenBucket.create(0, options.clock.now());
+    this.loadBucket = TokenBucket.create(0, options.clock.now());
   }
 
   /**
-   * Creates a dispatcher that has given no order.
+   * Creates a dispatcher without any earlier orders.
    *
    * @example
-   * const orders = OrderDispatcher.create({duties, runtime, registry, desk, clock, events});
-   * orders.give(action, pool.engine, clock.now());
+   * const orders = OrderDispatcher.create({poolSettings, runtime, registry, gateways, clock, events});
+   * orders.dispatch(action, pool.engine, clock.now());
    */
   static create(options: OrderDispatcherOptions): OrderDispatcher {
     return new OrderDispatcher(options);
   }
 
-  /** Forgets every order: another process led meanwhile, and may have begun loads. */
+  /** Drops all state, since another process led meanwhile and may have started loads. */
   clear(): void {
     this.lastOrders.group.clear();
     this.lastOrders.copy.clear();
     this.ordersTaken.clear();
     this.loads.clear();
-    this.allowance.clear(this.options.clock.now());
+    this.loadBucket.clear(this.options.clock.now());
   }
 
-  /** Forgets engines that are gone; incarnations are never used again. */
+  /** Drops the state of all other engines; incarnations are never reused. */
   retain(incarnations: ReadonlySet<string>): void {
     const {group, copy} = this.lastOrders;
     for (const known of [group, copy, this.loads, this.ordersTaken]) {
@@ -113,29 +116,29 @@
     }
   }
 
-  /** The model that an engine was told to load lately. */
-  findLoading(incarnation: string): string | undefined {
+  /** The model that an engine is loading on the last order. */
+  findLoadingModel(incarnation: string): string | undefined {
     return this.loads.get(incarnation)?.model;
   }
 
-  /** Gives an order, unless the same one still waits for its effect. */
-  give(order: Order, profile: EngineProfile, now: number): void {
+  /** Sends an order unless an answer is outstanding or the same order hasn't taken effect yet. */
+  dispatch(order: Order, profile: EngineProfile, now: number): void {
     const {incarnation, kind, group, isParking} = order;
     const key = isParking ? 'park' : `${kind} ${group?.epoch ?? ''}`;
     const {group: groupOrders, copy: copyOrders} = this.lastOrders;
     const lastOrders = kind === 'stage' ? copyOrders : groupOrders;
     const last = lastOrders.get(incarnation);
-    const isAnswerDue = [groupOrders, copyOrders].some(
+    const isAnswerPending = [groupOrders, copyOrders].some(
       orders => orders.get(incarnation)?.isPending,
     );
-    // The same order waits for its effect; another one only for the answer.
-    if (isAnswerDue || (last?.key === key && now < last.againAt)) {
+    // The same order waits for its effect; a different one only for the outstanding answer.
+    if (isAnswerPending || (last?.key === key && now < last.retryAt)) {
       return;
     }
-    if (order.isLoad && !this.takeLoad(order, profile, now)) {
+    if (order.isLoad && !this.startLoad(order, profile, now)) {
       return;
     }
-    const entry = {key, againAt: Infinity, isPending: true};
+    const entry = {key, retryAt: Infinity, isPending: true};
     lastOrders.set(incarnation, entry);
     const loadMs =
       profile.models.find(({name}) => name === order.model)?.loadMs ?? 0;
@@ -144,23 +147,29 @@
       .then(outcome => {
         entry.isPending = false;
         const isLoading = order.isLoad && outcome === 'begun';
-        // An engine that does not fit is loading something else.
         this.recordEffect(order, outcome);
+        // An engine that refuses to stage a copy is loading another one.
         const isBusy = kind === 'stage' && outcome === 'unfit';
         const waitMs =
-          isLoading || isBusy ? loadMs * SLOW_LOAD : RETRY_MS[outcome];
+          isLoading || isBusy
+            ? loadMs * LOAD_TIMEOUT_FACTOR
+            : RETRY_MS[outcome];
         const isClosing = kind === 'close' && outcome === 'begun';
-        entry.againAt =
-          this.options.clock.now() + (isClosing ? CLOSE_CHECK_MS : waitMs);
+        entry.retryAt =
+          this.options.clock.now() + (isClosing ? CLOSE_POLL_MS : waitMs);
       });
   }
 
-  /** Before the first request loads are quick and do not count against the limit. */
-  private takeLoad(order: Order, profile: EngineProfile, now: number): boolean {
-    const {hasServed} = this.options.desk;
-    if (hasServed !== this.wasServing) {
-      this.wasServing = hasServed;
-      this.allowance.clear(now);
+  /** Records a load if the limits allow it now; before the first request of a caller, only the rate is limited. */
+  private startLoad(
+    order: Order,
+    profile: EngineProfile,
+    now: number,
+  ): boolean {
+    const {hasServed} = this.options.gateways;
+    if (hasServed !== this.hadServed) {
+      this.hadServed = hasServed;
+      this.loadBucket.clear(now);
       this.loads.clear();
     }
     for (const [incarnation, {endsAt}] of this.loads) {
@@ -172,7 +181,7 @@
     const isFull = hasServed && this.isFull(isSecondCopy, profile);
     const factor = hasServed ? SERVING_LOAD_FACTOR : EARLY_LOAD_FACTOR;
     const perSecond = profile.loadsPerSecond * factor;
-    if (isFull || !this.allowance.take(perSecond, now)) {
+    if (isFull || !this.loadBucket.take(perSecond, now)) {
       return false;
     }
     const loadMs =
@@ -182,7 +191,7 @@
     return true;
   }
 
-  /** Loads side by side slow each other down; second copies hold up no others. */
+  /** Limits concurrent loads, which slow each other down; second copies don't count against first ones. */
   private isFull(
     isSecondCopy: boolean,
     {concurrentLoads}: EngineProfile,
@@ -193,25 +202,29 @@
       : loads.filter(load => !load.isSecondCopy).length >= concurrentLoads;
   }
 
-  /** What an engine answered counts before its next registration; one that leaves sends none. */
+  /** Applies an answer to the registry ahead of the next registration, since an engine that is leaving sends none. */
   private recordEffect(order: Order, outcome: Outcome): void {
     const {registry, clock} = this.options;
     const {incarnation, kind, group} = order;
-    const told = registry.find(incarnation)?.registration.group;
-    const isSame = told?.name === group?.name && told?.epoch === group?.epoch;
-    if (outcome !== 'holds' || !told || !isSame) {
+    const reported = registry.find(incarnation)?.registration.group;
+    const isSame =
+      reported?.name === group?.name && reported?.epoch === group?.epoch;
+    if (outcome !== 'holds' || !reported || !isSame) {
       return;
     }
     if (kind === 'leave') {
       registry.recordGroup(incarnation, undefined, clock.now());
     } else if (kind === 'close') {
-      const closed = {...told, state: 'ready' as const};
+      const closed = {...reported, state: 'ready' as const};
       registry.recordGroup(incarnation, closed, clock.now());
     }
   }
 
-  /** After a refusal what was counted may be wrong: its own report decides again. */
-  private recordTaken(incarnation: string, answer: Answer | undefined): void {
+  /** After a refusal the count may be wrong, so the engine's own registrations decide again. */
+  private recordOrdersTaken(
+    incarnation: string,
+    answer: Answer | undefined,
+  ): void {
     if (answer?.ordersTaken !== undefined) {
       this.ordersTaken.set(incarnation, answer.ordersTaken);
     } else if (answer?.outcome === 'unfit') {
@@ -220,9 +233,9 @@
   }
 
   private async sendOrder(order: Order): Promise<Outcome> {
-    const {duties, runtime, events} = this.options;
+    const {poolSettings, runtime, events} = this.options;
     const {incarnation, address, kind, group, model, reason} = order;
-    const answer = await duties.orders?.send({
+    const answer = await poolSettings.orders?.send({
       incarnation,
       address,
       fence: runtime.raft.term,
@@ -235,7 +248,7 @@
       },
     });
     const outcome = answer?.outcome ?? 'unanswered';
-    this.recordTaken(incarnation, answer);
+    this.recordOrdersTaken(incarnation, answer);
     events.record({
       type: `engine-order-${outcome}`,
       subject: 'host',
--- a/src/control/rate_limit_service.ts
+++ b/src/control/rate_limit_service.ts
@@ -1,4 +1,4 @@
-/** The leader's table of the limits that backend servers name, and its permits to send to them. */
+/** Keeps the rate limits that backend servers announce, and issues gateways permits within them, on the leader. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {LimitLines} from '../common/limit_lines';
@@ -11,15 +11,15 @@
 import {BackendRegistry} from './backend_registry';
 import {RaftRuntime} from './raft_runtime';
 
-/** Changes that are remembered: a gateway that missed more gets the whole table. */
+/** Changes that are kept; a gateway that missed more gets the whole table. */
 const MAX_CHANGES = 1_024;
-/** Between two looks for what is over. */
-const EXPIRE_EVERY_MS = 1_000;
+/** Interval between removals of expired limits. */
+const EXPIRY_INTERVAL_MS = 1_000;
 
-type Ask<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
-/** What the desk works on. */
-interface LimitDeskOptions {
+/** Dependencies of the service. */
+interface RateLimitServiceOptions {
   readonly runtime: {
     readonly raft: Pick<RaftRuntime['raft'], 'term'>;
     readonly leadingSince: number;
@@ -28,100 +28,100 @@
   readonly clock: Clock;
   readonly events: EventRing;
   readonly leaderName: string;
-  /** Wakes the gateways that wait for news. */
-  readonly announce: () => void;
+  /** Ends the long polls of gateways, so that they get the newest state. */
+  readonly notifyGateways: () => void;
 }
 
-/** Never replicated: gateways tell a new leader what they hold. */
+/** The limits aren't replicated: gateways report the ones that they know to a new leader. */
 export class RateLimitService {
   private readonly limits = NamedLimits.create();
   private readonly issuers = new Map<string, PermitIssuer>();
   /** Backend servers whose limit changed, oldest first. */
   private changes: string[] = [];
-  /** Changes that were made so far, the forgotten ones among them. */
-  private count = 0;
+  /** Number of all changes so far, including those no longer kept. */
+  private changeCount = 0;
   private term = -1;
   private expiredAt = -Infinity;
 
   private readonly lines: LimitLines;
 
-  private constructor(private readonly options: LimitDeskOptions) {
+  private constructor(private readonly options: RateLimitServiceOptions) {
     this.lines = LimitLines.create(options.events, options.clock);
   }
 
   /**
-   * Creates a desk that knows no limit.
+   * Creates a service without any limits.
    *
    * @example
-   * const desk = LimitDesk.create({runtime, registry, clock, events, leaderName, announce});
+   * const service = RateLimitService.create({runtime, registry, clock, events, leaderName, notifyGateways});
    */
-  static create(options: LimitDeskOptions): RateLimitService {
+  static create(options: RateLimitServiceOptions): RateLimitService {
     return new RateLimitService(options);
   }
 
-  /** Names the table as it is now; a gateway that holds this one needs nothing. */
+  /** Identifies the current version of the table, as an entity tag does; a gateway that has this version needs no update. */
   readTag(): string {
-    this.follow();
-    return `${this.options.leaderName}/${this.term}/${this.count}`;
+    this.refresh();
+    return `${this.options.leaderName}/${this.term}/${this.changeCount}`;
   }
 
-  /** What a gateway needs that holds the table with this tag. */
-  describeSince(tag: string): LimitWord[] {
+  /** The changes since the version with this tag, or the whole table if they aren't known. */
+  listChangesSince(tag: string): LimitWord[] {
     const now = this.options.clock.now();
-    const era = this.readTag().slice(0, -String(this.count).length);
-    const missed = this.count - Number(tag.slice(era.length));
-    const isFollowing = tag.startsWith(era);
-    if (!isFollowing || !(missed >= 0 && missed <= this.changes.length)) {
+    const prefix = this.readTag().slice(0, -String(this.changeCount).length);
+    const missed = this.changeCount - Number(tag.slice(prefix.length));
+    const isSameLeadership = tag.startsWith(prefix);
+    if (!isSameLeadership || !(missed >= 0 && missed <= this.changes.length)) {
       return this.limits.describe(this.limits.list(), now);
     }
     const changed = missed === 0 ? [] : this.changes.slice(-missed);
     return this.limits.describe([...new Set(changed)], now);
   }
 
-  /** Takes what a gateway heard, or was told by the leader before. */
-  recordWords(gatewayId: string, words: readonly LimitWord[]): void {
-    this.follow();
-    words.forEach(word => this.recordWord(gatewayId, word));
+  /** Records the limits that a gateway learned from responses, or from the previous leader. */
+  recordReports(gatewayId: string, reports: readonly LimitWord[]): void {
+    this.refresh();
+    reports.forEach(report => this.recordReport(gatewayId, report));
   }
 
   readonly handlers = {
-    'permit-ask': (ask: Ask<'permit-ask'>): ControlMessage => {
-      const {call, gatewayId, limit} = ask;
+    'permit-ask': (request: RequestOf<'permit-ask'>): ControlMessage => {
+      const {call, gatewayId, limit} = request;
       const {clock} = this.options;
-      this.recordWords(gatewayId, [limit]);
+      this.recordReports(gatewayId, [limit]);
       const {incarnation} = limit;
       const known = this.limits.find(incarnation);
       if (!known) {
-        return {type: 'permit-answer', call, ...FREE};
+        return {type: 'permit-answer', call, ...UNLIMITED_VERDICT};
       }
       const now = clock.now();
-      const issuer = this.findIssuer(incarnation, known.perSecond, now);
+      const issuer = this.getIssuer(incarnation, known.perSecond, now);
       const {isGranted, ...pace} = issuer.ask(gatewayId, now);
       const kind = isGranted ? 'granted' : 'later';
       return {type: 'permit-answer', call, verdict: {kind, ...pace}};
     },
   };
 
-  private recordWord(gatewayId: string, word: LimitWord): void {
-    const {clock, announce} = this.options;
-    const {incarnation, perSecond, msAgo} = word;
+  private recordReport(gatewayId: string, report: LimitWord): void {
+    const {clock, notifyGateways: announce} = this.options;
+    const {incarnation, perSecond, msAgo} = report;
     const at = clock.now() - msAgo;
     const before = this.limits.find(incarnation)?.perSecond;
-    const isNews =
+    const isNewer =
       perSecond === null
         ? this.limits.end(incarnation, at)
         : this.limits.add(incarnation, perSecond, at);
-    if (!isNews) {
+    if (!isNewer) {
       return;
     }
     if (perSecond !== null) {
       const now = clock.now();
-      this.findIssuer(incarnation, perSecond, now).setLimit(perSecond, now);
+      this.getIssuer(incarnation, perSecond, now).setLimit(perSecond, now);
     }
-    // Gateways need not know the figure, only whether there is a limit.
+    // Gateways don't need the value of the limit, only whether there is one.
     if (perSecond === null || before === undefined) {
       this.changes = [...this.changes, incarnation].slice(-MAX_CHANGES);
-      this.count += 1;
+      this.changeCount += 1;
       announce();
     }
     this.lines.record({
@@ -130,13 +130,13 @@
       before,
       reason:
         perSecond === null
-          ? 'a gateway got an answer that names no limit any more'
-          : 'a gateway got an answer that names it',
+          ? 'a gateway received a response without a limit'
+          : 'a gateway received a response with this limit',
       details: {gatewayId, ageMs: Math.round(msAgo)},
     });
   }
 
-  private findIssuer(
+  private getIssuer(
     incarnation: string,
     perSecond: number,
     now: number,
@@ -153,8 +153,8 @@
     return issuer;
   }
 
-  /** Begins anew where another process led in between; forgets what is over. */
-  private follow(): void {
+  /** Resets the state after another term of this process's leadership began, and removes expired limits. */
+  private refresh(): void {
     const {runtime, registry, clock} = this.options;
     const now = clock.now();
     if (runtime.raft.term !== this.term) {
@@ -163,13 +163,13 @@
       this.issuers.clear();
       this.changes = [];
     }
-    if (now - this.expiredAt < EXPIRE_EVERY_MS) {
+    if (now - this.expiredAt < EXPIRY_INTERVAL_MS) {
       return;
     }
     this.expiredAt = now;
-    const isHere = (incarnation: string) =>
+    const isRegistered = (incarnation: string) =>
       registry.find(incarnation) !== undefined;
-    this.limits.expire(now, isHere);
+    this.limits.expire(now, isRegistered);
     const known = new Set(this.limits.list());
     for (const incarnation of this.issuers.keys()) {
       if (!known.has(incarnation)) {
@@ -179,6 +179,6 @@
   }
 }
 
-const FREE = {
+const UNLIMITED_VERDICT = {
   verdict: {kind: 'free', pauseMs: 0, intervalMs: 0},
 } as const;
--- a/src/control/registration_service.ts
+++ b/src/control/registration_service.ts
@@ -1,4 +1,4 @@
-/** The leader's answers to what backend servers say of themselves. */
+/** Serves registrations and deregistrations of backend servers on the leader. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {ThrottledLines} from '../common/throttled_lines';
@@ -11,56 +11,56 @@
 import {ControlSettings} from './control_settings';
 import {RaftRuntime} from './raft_runtime';
 
-/** A new leader has heard every backend server that lives after this many registration intervals. */
+/** A new leader has heard every live backend server after this many registration intervals. */
 const LISTEN_INTERVALS = 2;
-/** Where the interval of registrations is not known, in milliseconds. */
+/** Used where the interval of registrations isn't configured. */
 const DEFAULT_HEARTBEAT_MS = 1_000;
 
-type Ask<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
-/** What the desk works on. */
-interface RegistrationDeskOptions {
+/** Dependencies of the service. */
+interface RegistrationServiceOptions {
   readonly settings: ControlSettings;
   readonly runtime: RaftRuntime;
   readonly registry: BackendRegistry;
   readonly clock: Clock;
   readonly events: EventRing;
-  /** Wakes the gateways that wait for news. */
-  readonly announce: () => void;
+  /** Ends the long polls of gateways, so that they get the newest state. */
+  readonly notifyGateways: () => void;
 }
 
-/** Takes registrations and departures; the caller makes sure that this process leads. */
+/** Records registrations and retires backend servers that leave; its caller checks that this process leads. */
 export class RegistrationService {
   private readonly lines: ThrottledLines;
 
-  private constructor(private readonly options: RegistrationDeskOptions) {
+  private constructor(private readonly options: RegistrationServiceOptions) {
     this.lines = ThrottledLines.create(options.events, options.clock);
   }
 
   /**
-   * Creates a desk.
+   * Creates a service.
    *
    * @example
-   * const desk = RegistrationDesk.create({settings, runtime, registry, clock, events, announce});
+   * const service = RegistrationService.create({settings, runtime, registry, clock, events, notifyGateways});
    */
-  static create(options: RegistrationDeskOptions): RegistrationService {
+  static create(options: RegistrationServiceOptions): RegistrationService {
     return new RegistrationService(options);
   }
 
-  /** Takes what a backend server says of itself, unless it cannot be one of ours. */
+  /** Records a registration, unless it is invalid. */
   async register({
     call,
     registration,
-  }: Ask<'registration-ask'>): Promise<ControlMessage> {
-    const {registry, clock, announce} = this.options;
+  }: RequestOf<'registration-ask'>): Promise<ControlMessage> {
+    const {registry, clock, notifyGateways} = this.options;
     const refusal = this.findRefusal(registration);
     if (refusal !== undefined) {
       this.recordRefusal(registration, refusal);
       return {type: 'registration-answer', call, refusal};
     }
     if (registry.record(registration, clock.now())) {
-      announce();
-      this.recordNews(registration);
+      notifyGateways();
+      this.recordChange(registration);
     }
     if (registration.isLeaving) {
       await this.retire(registration.incarnation, 'it says that it is leaving');
@@ -69,32 +69,39 @@
   }
 
   /**
-   * Takes the goodbye of a backend server, which names no start: it is the newest
-   * one's. A new leader that cannot tell which start that is has not heard it yet.
+   * Retires the newest incarnation of a backend server that deregisters by its name. A
+   * new leader may not have heard that incarnation yet, and refuses the call until it has
+   * listened for long enough.
    */
-  async depart({call, name}: Ask<'departure-ask'>): Promise<ControlMessage> {
+  async depart({
+    call,
+    name,
+  }: RequestOf<'departure-ask'>): Promise<ControlMessage> {
     const {runtime, clock, settings} = this.options;
-    const start = this.findStart(name);
+    const incarnation = this.findNewestIncarnation(name);
     const heartbeatMs = settings.pools?.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
-    const ledMs = clock.now() - runtime.leadingSince;
-    const isKnown = start !== undefined || this.hasNamesForStarts();
-    if (!isKnown && ledMs < heartbeatMs * LISTEN_INTERVALS) {
-      throw new ControlError('this leader has not heard %s yet', name);
+    const leadingMs = clock.now() - runtime.leadingSince;
+    const isKnown = incarnation !== undefined || this.isNamedByIncarnation();
+    if (!isKnown && leadingMs < heartbeatMs * LISTEN_INTERVALS) {
+      throw new ControlError(
+        'this leader has not received a registration of %s yet',
+        name,
+      );
     }
-    await this.retire(start ?? name, 'it said goodbye');
+    await this.retire(incarnation ?? name, 'it said goodbye');
     return {type: 'registration-answer', call};
   }
 
-  /** Takes the goodbye that backend servers say in their answers to callers. */
+  /** Retires backend servers that announced in their responses to callers that they are leaving. */
   async recordLeaving({
     call,
     gatewayId,
     incarnations,
-  }: Ask<'leaving-ask'>): Promise<ControlMessage> {
+  }: RequestOf<'leaving-ask'>): Promise<ControlMessage> {
     const {runtime, events} = this.options;
-    const isNews = (incarnation: string) =>
+    const isActive = (incarnation: string) =>
       !runtime.state.engines.isRetired(incarnation);
-    for (const incarnation of incarnations.filter(isNews)) {
+    for (const incarnation of incarnations.filter(isActive)) {
       const reason = 'it says in its answers that it leaves';
       events.record({
         type: 'backend-leaving',
@@ -108,7 +115,7 @@
     return {type: 'leaving-answer', call};
   }
 
-  /** Why a registration names no backend server to use: nothing may be changed by it. */
+  /** Why a registration is invalid and must not change anything; undefined if it is valid. */
   private findRefusal({
     pool,
     startedAt,
@@ -118,22 +125,22 @@
     if (rules && !rules.pools.some(({name}) => name === pool)) {
       return `the rules know no pool "${pool}"`;
     }
-    return startedAt === undefined && registry.tellsStarts
+    return startedAt === undefined && registry.hasStartTimes
       ? 'it does not tell when it started, as the others do'
       : undefined;
   }
 
-  private findStart(name: string): string | undefined {
-    const heard = this.options.registry.findByName(name);
+  private findNewestIncarnation(name: string): string | undefined {
+    const registered = this.options.registry.findByName(name);
     const member = this.listMembers().find(known => known.name === name);
-    return heard?.registration.incarnation ?? member?.incarnation;
+    return registered?.registration.incarnation ?? member?.incarnation;
   }
 
-  /** True where every start that is known has no name but its own: then a name is a start. */
-  private hasNamesForStarts(): boolean {
-    const heard = this.options.registry.list();
+  /** True if every known backend server has no name but its incarnation, so that a name identifies a start. */
+  private isNamedByIncarnation(): boolean {
+    const registered = this.options.registry.list();
     const known = [
-      ...heard.map(({registration}) => registration),
+      ...registered.map(({registration}) => registration),
       ...this.listMembers(),
     ];
     return (
@@ -162,7 +169,7 @@
     });
   }
 
-  private recordNews(registration: BackendRegistration): void {
+  private recordChange(registration: BackendRegistration): void {
     const {incarnation, pool, address, isLeaving, model, stagedModels, group} =
       registration;
     const {sequence} = registration;
@@ -184,7 +191,7 @@
     });
   }
 
-  /** An acknowledged departure must outlive this leader, so it goes into the log. */
+  /** An acknowledged departure must survive this leader, so it goes into the replicated log. */
   private async retire(incarnation: string, reason: string): Promise<void> {
     const {runtime} = this.options;
     if (runtime.state.engines.isRetired(incarnation)) {
--- a/src/control/secondary_index.ts
+++ b/src/control/secondary_index.ts
@@ -1,6 +1,6 @@
-/** Finds by a value who has it, without a look at all others. */
+/** Finds the keys that have a value without a scan of all entries. */
 export class SecondaryIndex {
-  private readonly holders = new Map<string, Set<string>>();
+  private readonly keysByValue = new Map<string, Set<string>>();
 
   private constructor() {}
 
@@ -8,39 +8,39 @@
    * Creates an empty index.
    *
    * @example
-   * const byAddress = ValueIndex.create();
+   * const byAddress = SecondaryIndex.create();
    * byAddress.add('10.0.0.1:80', 'i1');
    */
   static create(): SecondaryIndex {
     return new SecondaryIndex();
   }
 
-  /** Notes that `key` has this value; none is not noted. */
+  /** Adds `key` under this value; an undefined value is ignored. */
   add(value: string | undefined, key: string): void {
     if (value === undefined) {
       return;
     }
-    const keys = this.holders.get(value) ?? new Set();
-    this.holders.set(value, keys.add(key));
+    const keys = this.keysByValue.get(value) ?? new Set();
+    this.keysByValue.set(value, keys.add(key));
   }
 
   remove(value: string | undefined, key: string): void {
-    const keys = value === undefined ? undefined : this.holders.get(value);
+    const keys = value === undefined ? undefined : this.keysByValue.get(value);
     if (value === undefined || !keys) {
       return;
     }
     keys.delete(key);
     if (keys.size === 0) {
-      this.holders.delete(value);
+      this.keysByValue.delete(value);
     }
   }
 
-  /** Keys with this value, in the order of their coming. */
+  /** Keys with this value, in the order in which they were added. */
   list(value: string): readonly string[] {
-    return [...(this.holders.get(value) ?? [])];
+    return [...(this.keysByValue.get(value) ?? [])];
   }
 
   clear(): void {
-    this.holders.clear();
+    this.keysByValue.clear();
   }
 }
--- a/src/control/suspect_service.ts
+++ b/src/control/suspect_service.ts
@@ -1,4 +1,4 @@
-/** The leader's answers about requests under which backend servers ended. */
+/** Serves calls about requests that are suspected of crashing backend servers, on the leader. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {systemTimers} from '../common/system_timers';
@@ -9,17 +9,17 @@
 import {RaftRuntime} from './raft_runtime';
 
 /**
- * Words of a backend server may travel for seconds; one that goes on speaking later
- * than this after its end was seen has not ended.
+ * Registrations may be delayed for seconds; a backend server that still registers later
+ * than this after its reported crash hasn't crashed.
  */
-const LAST_WORDS_MS = 5_000;
-/** A backend server that lives speaks again within this. */
-const SPEAKS_WITHIN_MS = 5_000;
+const MAX_REGISTRATION_DELAY_MS = 5_000;
+/** A live backend server registers at least once within this time. */
+const REGISTERS_WITHIN_MS = 5_000;
 
-type Ask<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
-/** What the desk works on. */
-interface SuspectDeskOptions {
+/** Dependencies of the service. */
+interface SuspectServiceOptions {
   readonly runtime: Pick<RaftRuntime, 'state' | 'propose'>;
   readonly events: EventRing;
   readonly registry: Pick<BackendRegistry, 'find'>;
@@ -27,61 +27,69 @@
   readonly timers?: Timers;
 }
 
-/** Answers calls; the caller makes sure that this process leads. */
+/**
+ * Commits what gateways report on crashes, and grants trial runs of suspected requests;
+ * its caller checks that this process leads.
+ */
 export class SuspectService {
-  private constructor(private readonly options: SuspectDeskOptions) {}
+  private constructor(private readonly options: SuspectServiceOptions) {}
 
   /**
-   * Creates a desk.
+   * Creates a service.
    *
    * @example
-   * const desk = SuspectDesk.create({runtime, events, registry, clock});
+   * const service = SuspectService.create({runtime, events, registry, clock});
    */
-  static create(options: SuspectDeskOptions): SuspectService {
+  static create(options: SuspectServiceOptions): SuspectService {
     return new SuspectService(options);
   }
 
   readonly handlers = {
-    'ends-ask': (ask: Ask<'ends-ask'>) => this.recordSuspects(ask),
-    'trial-ask': (ask: Ask<'trial-ask'>) => this.grantTrial(ask),
-    'suspects-ask': ({call}: Ask<'suspects-ask'>): ControlMessage => {
+    'ends-ask': (request: RequestOf<'ends-ask'>) =>
+      this.recordSuspects(request),
+    'trial-ask': (request: RequestOf<'trial-ask'>) => this.grantTrial(request),
+    'suspects-ask': ({call}: RequestOf<'suspects-ask'>): ControlMessage => {
       const {suspects} = this.options.runtime.state;
-      const list = suspects.list();
-      const told = list.map(([name, suspect]) => ({name, ...suspect}));
-      return {type: 'suspects-answer', call, suspects: told};
+      const entries = suspects.list();
+      const described = entries.map(([name, suspect]) => ({name, ...suspect}));
+      return {type: 'suspects-answer', call, suspects: described};
     },
   };
 
-  private async recordSuspects(ask: Ask<'ends-ask'>): Promise<ControlMessage> {
-    const {call, gatewayId, crashes, released, cleared} = ask;
+  private async recordSuspects(
+    request: RequestOf<'ends-ask'>,
+  ): Promise<ControlMessage> {
+    const {call, gatewayId, crashes, released, cleared} = request;
     const {runtime} = this.options;
     const time = Date.now();
     crashes.forEach(crash => this.recordCrash(gatewayId, crash));
     const before = runtime.state.suspects.version;
-    const told = {time, crashes, released, cleared};
-    const fresh = crashes.filter(
+    const report = {time, crashes, released, cleared};
+    const newCrashes = crashes.filter(
       ({incarnation}) => !runtime.state.suspects.hasEnded(incarnation),
     );
-    await runtime.propose({type: 'record-suspects', ...told});
-    fresh.forEach(({incarnation}) => this.watch(incarnation));
+    await runtime.propose({type: 'record-suspects', ...report});
+    newCrashes.forEach(({incarnation}) =>
+      this.watchForRegistration(incarnation),
+    );
     this.recordChanges(before);
     return {type: 'ends-answer', call};
   }
 
-  /** Takes an end back if its backend server goes on speaking under the same start. */
-  private watch(incarnation: string): void {
+  /** Withdraws a crash if the same incarnation of the backend server goes on registering. */
+  private watchForRegistration(incarnation: string): void {
     const {registry, clock, timers = systemTimers} = this.options;
-    const endedAt = clock.now();
-    timers.delay(LAST_WORDS_MS + SPEAKS_WITHIN_MS, () => {
+    const reportedAt = clock.now();
+    timers.delay(MAX_REGISTRATION_DELAY_MS + REGISTERS_WITHIN_MS, () => {
       const seenAt = registry.find(incarnation)?.seenAt ?? -Infinity;
-      if (seenAt > endedAt + LAST_WORDS_MS) {
-        // A leader that lost the lead leaves it to the next end to be judged anew.
-        this.withdraw(incarnation).catch(() => undefined);
+      if (seenAt > reportedAt + MAX_REGISTRATION_DELAY_MS) {
+        // If this process lost the lead, the crash stays recorded until the next one is judged.
+        this.withdrawCrash(incarnation).catch(() => undefined);
       }
     });
   }
 
-  private async withdraw(incarnation: string): Promise<void> {
+  private async withdrawCrash(incarnation: string): Promise<void> {
     const {runtime, events} = this.options;
     const time = Date.now();
     const before = runtime.state.suspects.version;
@@ -90,14 +98,16 @@
       type: 'end-withdrawn',
       subject: 'host',
       id: incarnation,
-      reason: 'it goes on speaking under the same start',
+      reason: 'the same incarnation goes on registering',
     });
     this.recordChanges(before);
   }
 
-  /** Only the log makes sure that no two leaders grant the same place. */
-  private async grantTrial(ask: Ask<'trial-ask'>): Promise<ControlMessage> {
-    const {call, name, incarnation} = ask;
+  /** The trial is committed to the log, so that no two leaders grant the same backend server. */
+  private async grantTrial(
+    request: RequestOf<'trial-ask'>,
+  ): Promise<ControlMessage> {
+    const {call, name, incarnation} = request;
     const {runtime, events} = this.options;
     const {suspects} = runtime.state;
     const time = Date.now();
@@ -114,7 +124,7 @@
         type: 'trial-granted',
         subject: 'request',
         id: name,
-        reason: 'nothing else that is suspected runs there',
+        reason: 'no other suspected request runs there',
         details: {incarnation},
       });
     }
@@ -123,13 +133,13 @@
 
   private recordCrash(
     gatewayId: string,
-    {incarnation, notBegun, begun}: Ask<'ends-ask'>['crashes'][number],
+    {incarnation, notBegun, begun}: RequestOf<'ends-ask'>['crashes'][number],
   ): void {
     this.options.events.record({
       type: 'backend-ended',
       subject: 'host',
       id: incarnation,
-      reason: 'a gateway saw it end with requests under way',
+      reason: 'a gateway saw it end with requests running',
       details: {gatewayId, notBegun: notBegun.join(' '), begun: begun.length},
     });
   }
@@ -137,11 +147,11 @@
   private recordChanges(before: number): void {
     const {suspects} = this.options.runtime.state;
     const {suspected, convicted, freed} = suspects.describeSince(before);
-    const tell = (type: string, names: readonly string[]) =>
+    const recordAll = (type: string, names: readonly string[]) =>
       names.forEach(name => this.recordStanding(type, name));
-    tell('request-suspected', suspected);
-    tell('request-convicted', convicted);
-    tell('request-freed', freed);
+    recordAll('request-suspected', suspected);
+    recordAll('request-convicted', convicted);
+    recordAll('request-freed', freed);
   }
 
   private recordStanding(type: string, name: string): void {
--- a/src/control/target_table.ts
+++ b/src/control/target_table.ts
@@ -1,6 +1,6 @@
 /**
- * What gateways may send requests to, kept by changes: each change is worked out once
- * and told to every gateway, and a gateway gets what changed since it last asked.
+ * Versioned table of the backend servers that gateways may send requests to. Each change is
+ * computed once for all gateways, and a gateway gets only the changes that it missed.
  */
 import {BackendView} from '../coordination/groups/backend_view';
 import {EngineGroup} from '../protocol/engine_group';
@@ -9,48 +9,50 @@
 import {RaftRuntime} from './raft_runtime';
 
 /**
- * Changes that are remembered: a gateway that missed more gets the whole table. The
- * loss of a domain of 37 hosts makes fewer than 100.
+ * Changes that are kept; a gateway that missed more gets the whole table. The loss of a
+ * fabric domain with 37 hosts makes fewer than 100.
  */
 const MAX_CHANGES = 1_024;
-/** After this long as leader every backend server that lives has been heard. */
+/** A new leader has received a registration of every live backend server after this time. */
 const COMPLETE_AFTER_MS = 15_000;
 
-/** One backend server came to serve, serves no more, or takes no new work for good. */
-type Change =
+/** A backend server serves with these properties, no longer serves, or has permanently retired. */
+type TableChange =
   | {readonly kind: 'target'; readonly target: GatewayTarget}
   | {readonly kind: 'closed' | 'retired'; readonly incarnation: string};
 
-/** A table, or what changed in one. */
-interface TableNews {
+/** The whole table or changes to it. */
+interface TableUpdate {
   readonly targets: GatewayTarget[];
-  /** Backend servers that serve nothing now. */
+  /** Incarnations that currently serve nothing. */
   readonly closed: string[];
-  /** Backend servers that take no new work, by incarnation or by name. */
+  /** Incarnations, or names, of backend servers that take no new work. */
   readonly retired: string[];
-  /** False for changes. */
+  /** True for the whole table, false for changes to it. */
   readonly isWholeTable: boolean;
 }
 
-/** What the table is made from. */
+/** Sources of the table. */
 interface TargetTableOptions {
   readonly registry: BackendRegistry;
   readonly runtime: Pick<RaftRuntime, 'state' | 'raft' | 'leadingSince'>;
-  /** Told to gateways, so that tables of two leaders never look alike. */
+  /** Part of the tag, so that versions of two leaders never look the same. */
   readonly leaderName: string;
 }
 
-/** The table of one leader. */
+/** Computes the table of one leader, and its changes. */
 export class TargetTable {
-  /** What gateways that follow hold; null for a backend server that serves nothing. */
-  private known = new Map<string, GatewayTarget | null>();
+  /** The current version by incarnation; null for a backend server that serves nothing. */
+  private current = new Map<string, GatewayTarget | null>();
   private retired = new Set<string>();
-  private changes: Change[] = [];
-  /** Changes that were made so far, the forgotten ones among them. */
-  private count = 0;
-  private era = '';
-  private isEraComplete = false;
-  private seen = '';
+  private changes: TableChange[] = [];
+  /** Number of all changes so far, including those no longer kept. */
+  private changeCount = 0;
+  /** Identifies a sequence of changes: one of a leader that may not know all backend servers, or one that does. */
+  private sequenceId = '';
+  private isSequenceComplete = false;
+  /** Versions of the sources that the table was last computed from. */
+  private sourceVersions = '';
 
   private constructor(private readonly options: TargetTableOptions) {}
 
@@ -64,35 +66,35 @@
     return new TargetTable(options);
   }
 
-  /** Names the table as it is now; a gateway that holds this one needs nothing. */
+  /** Identifies the current version, as an entity tag does; a gateway that has this version needs no update. */
   readTag(now: number): string {
     this.refresh(now);
-    return `${this.era}/${this.count}`;
+    return `${this.sequenceId}/${this.changeCount}`;
   }
 
-  /** False while a new leader may not have heard every backend server yet. */
+  /** False while a new leader may not have heard every live backend server yet. */
   isComplete(now: number): boolean {
     return now - this.options.runtime.leadingSince > COMPLETE_AFTER_MS;
   }
 
-  /** What a gateway needs that holds the table with this tag. */
-  describeSince(tag: string, now: number): TableNews {
+  /** The changes since the version with this tag, or the whole table if they aren't known. */
+  describeChangesSince(tag: string, now: number): TableUpdate {
     this.refresh(now);
     const at = tag.lastIndexOf('/');
-    const missed = this.count - Number(tag.slice(at + 1));
-    const isFollowing = tag.slice(0, at) === this.era;
-    if (!isFollowing || !(missed >= 0 && missed <= this.changes.length)) {
+    const missed = this.changeCount - Number(tag.slice(at + 1));
+    const isSameSequence = tag.slice(0, at) === this.sequenceId;
+    if (!isSameSequence || !(missed >= 0 && missed <= this.changes.length)) {
       return this.describeWhole();
     }
-    return joinChanges(missed === 0 ? [] : this.changes.slice(-missed));
+    return mergeChanges(missed === 0 ? [] : this.changes.slice(-missed));
   }
 
-  private describeWhole(): TableNews {
-    const entries = [...this.known];
+  private describeWhole(): TableUpdate {
+    const entries = [...this.current];
     return {
       targets: entries.flatMap(([, target]) => target ?? []),
-      // A table that is complete takes the place of what a gateway holds.
-      closed: this.isEraComplete
+      // A complete table replaces the gateway's, so what it doesn't list is closed.
+      closed: this.isSequenceComplete
         ? []
         : entries.flatMap(([name, target]) => (target ? [] : [name])),
       retired: [...this.retired],
@@ -100,25 +102,28 @@
     };
   }
 
-  /** Works out what changed since the last look; nothing, most of the time. */
+  /** Updates the table if any of its sources changed. */
   private refresh(now: number): void {
     const {registry, runtime, leaderName} = this.options;
     const {engines, channel} = runtime.state;
     const {term} = runtime.raft;
     const isComplete = this.isComplete(now);
-    const era = `${leaderName}/${term}/${isComplete ? 'all' : 'some'}`;
-    const seen = `${registry.version}/${engines.version}/${channel.version}`;
-    if (era === this.era && seen === this.seen) {
+    const sequenceId = `${leaderName}/${term}/${isComplete ? 'all' : 'some'}`;
+    const sourceVersions = `${registry.version}/${engines.version}/${channel.version}`;
+    if (
+      sequenceId === this.sequenceId &&
+      sourceVersions === this.sourceVersions
+    ) {
       return;
     }
-    if (era !== this.era) {
-      this.known.clear();
+    if (sequenceId !== this.sequenceId) {
+      this.current.clear();
       this.retired.clear();
       this.changes = [];
     }
-    this.era = era;
-    this.isEraComplete = isComplete;
-    this.seen = seen;
+    this.sequenceId = sequenceId;
+    this.isSequenceComplete = isComplete;
+    this.sourceVersions = sourceVersions;
     this.recordRetired(engines.listRetired());
     this.recordTargets();
   }
@@ -126,7 +131,7 @@
   private recordRetired(retired: readonly string[]): void {
     for (const incarnation of retired) {
       if (!this.retired.has(incarnation)) {
-        this.push({kind: 'retired', incarnation});
+        this.appendChange({kind: 'retired', incarnation});
       }
     }
     this.retired = new Set(retired);
@@ -139,64 +144,64 @@
     const byHead = new Map(
       groups.map(group => [group.members[0].incarnation, group]),
     );
-    const present = new Map<string, GatewayTarget | null>();
-    if (!this.isEraComplete) {
-      this.listUnheard(views, groups).forEach(target =>
-        present.set(target.incarnation, target),
+    const next = new Map<string, GatewayTarget | null>();
+    if (!this.isSequenceComplete) {
+      this.listUnregisteredHeads(views, groups).forEach(target =>
+        next.set(target.incarnation, target),
       );
     }
     for (const view of views) {
       const {incarnation} = view.registration;
-      present.set(
+      next.set(
         incarnation,
         this.findTarget(view, byHead.get(incarnation)) ?? null,
       );
     }
-    for (const [incarnation, target] of present) {
+    for (const [incarnation, target] of next) {
       this.recordTarget(incarnation, target);
     }
-    for (const [incarnation, target] of this.known) {
-      if (target && !present.has(incarnation) && this.isEraComplete) {
-        this.push({kind: 'closed', incarnation});
+    for (const [incarnation, target] of this.current) {
+      if (target && !next.has(incarnation) && this.isSequenceComplete) {
+        this.appendChange({kind: 'closed', incarnation});
       }
     }
-    this.known = present;
+    this.current = next;
   }
 
   private recordTarget(
     incarnation: string,
     target: GatewayTarget | null,
   ): void {
-    const before = this.known.get(incarnation);
+    const before = this.current.get(incarnation);
     if (target) {
       if (!before || !isSame(before, target)) {
-        this.push({kind: 'target', target});
+        this.appendChange({kind: 'target', target});
       }
-    } else if (before || (before === undefined && !this.isEraComplete)) {
-      // Gateways may still hold what the leader before told them.
-      this.push({kind: 'closed', incarnation});
+    } else if (before || (before === undefined && !this.isSequenceComplete)) {
+      // Gateways may still have it as a target from the previous leader.
+      this.appendChange({kind: 'closed', incarnation});
     }
   }
 
-  private push(change: Change): void {
+  private appendChange(change: TableChange): void {
     this.changes.push(change);
-    this.count += 1;
+    this.changeCount += 1;
     if (this.changes.length > MAX_CHANGES) {
       this.changes.shift();
     }
   }
 
   /**
-   * Heads of the log's groups that a new leader has not heard yet. After all
-   * processes were killed gateways know nobody, and waiting for registrations
-   * would cost about one interval of them; a head that serves no more refuses.
+   * Targets for the heads of committed groups that a new leader hasn't heard yet. If all
+   * processes were killed, gateways start without any target and would otherwise wait
+   * about one registration interval. A head that no longer serves refuses requests.
    */
-  private listUnheard(
+  private listUnregisteredHeads(
     views: readonly BackendView[],
     groups: readonly EngineGroup[],
   ): GatewayTarget[] {
     const {engines, channel} = this.options.runtime.state;
-    const heard = new Set(
+    const registered = new Set(
       views.flatMap(({registration: {address, name}}) => [address, name]),
     );
     return groups.flatMap(({pool, model, epoch, members, isEnding}) => {
@@ -209,17 +214,17 @@
       return isEnding ||
         !isWhole ||
         slots === undefined ||
-        heard.has(address) ||
-        heard.has(name ?? address)
+        registered.has(address) ||
+        registered.has(name ?? address)
         ? []
         : [{incarnation, name, pool, address, zone: '', slots, model, epoch}];
     });
   }
 
-  /** What a gateway may send there; undefined for nothing. */
+  /** The target that a registration stands for; undefined if requests may not be sent there. */
   private findTarget(
     {registration}: BackendView,
-    wanted: EngineGroup | undefined,
+    committed: EngineGroup | undefined,
   ): GatewayTarget | undefined {
     const {engines, channel} = this.options.runtime.state;
     const {incarnation, name, pool, address, zone, slots, group} = registration;
@@ -233,19 +238,19 @@
     }
     const isOpen =
       group?.state === 'open' &&
-      group.name === wanted?.name &&
-      group.epoch === wanted.epoch;
+      group.name === committed?.name &&
+      group.epoch === committed.epoch;
     const isWhole =
-      wanted?.isEnding === false &&
-      wanted.members.every(member => !engines.isRetired(member.incarnation));
+      committed?.isEnding === false &&
+      committed.members.every(member => !engines.isRetired(member.incarnation));
     return isOpen && isWhole
-      ? {...target, model: wanted?.model, epoch: wanted?.epoch}
+      ? {...target, model: committed?.model, epoch: committed?.epoch}
       : undefined;
   }
 }
 
-/** The last word on each backend server, in one piece of news. */
-function joinChanges(changes: readonly Change[]): TableNews {
+/** Merges changes into one update with the newest state of each backend server. */
+function mergeChanges(changes: readonly TableChange[]): TableUpdate {
   const last = new Map<string, GatewayTarget | null>();
   const retired: string[] = [];
   for (const change of changes) {
--- a/src/control/token_bucket.ts
+++ b/src/control/token_bucket.ts
@@ -1,4 +1,4 @@
-/** How many loads of weights may begin: a bucket that fills with time. */
+/** Token bucket that limits how many loads of weights may begin per second. */
 export class TokenBucket {
   private tokens: number;
   private filledAt: number;
@@ -13,22 +13,22 @@
   }
 
   /**
-   * Creates an empty allowance: a leader cannot know what the one before spent.
+   * Creates an empty bucket: a new leader can't know how many tokens its predecessor used.
    *
    * @example
-   * const allowance = LoadAllowance.create(3, clock.now());
+   * const bucket = TokenBucket.create(3, clock.now());
    */
   static create(perSecond: number, now: number): TokenBucket {
     return new TokenBucket(perSecond, 0, now);
   }
 
-  /** Begins anew with nothing saved up. */
+  /** Empties the bucket. */
   clear(now: number): void {
     this.tokens = 0;
     this.filledAt = now;
   }
 
-  /** Takes one load; false when it must wait. */
+  /** Takes one token at the given refill rate, which is also the capacity; false if there is none. */
   take(perSecond: number, now: number): boolean {
     const MS_PER_SECOND = 1_000;
     this.perSecond = perSecond;
--- a/test/control/backend_registry.test.ts
+++ b/test/control/backend_registry.test.ts
@@ -84,7 +84,7 @@
   test('is known to hold the model of that group, also to a new leader', () => {
     const {registry} = create();
     registry.record(host('a', {model: undefined}).registration, 0);
-    registry.recordHeld('a', 'big');
+    registry.recordHeldModel('a', 'big');
     registry.record(host('a', {sequence: 2}).registration, 1_000);
     expect(registry.find('a')?.heldModel).toBe('big');
   });
@@ -95,14 +95,14 @@
     const joining = {name: 'g', epoch: 1, rank: 0, state: 'joining' as const};
     const again = host('a', {model: undefined, group: joining, sequence: 2});
     registry.record(again.registration, 1_000);
-    registry.recordHeld('a', 'low');
+    registry.recordHeldModel('a', 'low');
     expect(registry.find('a')?.heldModel).toBeUndefined();
   });
 
   test('is believed where it tells its model itself', () => {
     const {registry} = create();
     registry.record(host('a', {model: 'low'}).registration, 0);
-    registry.recordHeld('a', 'big');
+    registry.recordHeldModel('a', 'big');
     expect(registry.find('a')?.heldModel).toBe('low');
   });
 });
@@ -117,6 +117,6 @@
     const [, member] = ended.members;
     const members = [{incarnation: 'head', address: 'a:1'}, member];
 
-    expect(release.isLetGo({...ended, members}, 600)).toBe(false);
+    expect(release.isHeadStopped({...ended, members}, 600)).toBe(false);
   });
 });
--- a/test/control/backend_restarts.test.ts
+++ b/test/control/backend_restarts.test.ts
@@ -31,7 +31,7 @@
   test('is another one from its first call that is heard, however many came before it', () => {
     const {registry, call, list} = create();
     call(1_000, 40, 0);
-    registry.recordHeld('n@1000', 'big');
+    registry.recordHeldModel('n@1000', 'big');
 
     expect(call(2_000, 9, 500)).toBe(true);
 
@@ -72,10 +72,10 @@
     const head = {incarnation: 'n@1000', name: 'n', address: 'a:1'};
     const release = HeadStopDetector.create(registry, STALL_MS);
     const held = {...ended, members: [head, member]};
-    expect(release.isLetGo(held, 100)).toBe(false);
+    expect(release.isHeadStopped(held, 100)).toBe(false);
 
     call(2_000, 1, 200, 'b:1');
 
-    expect(release.isLetGo(held, 300)).toBe(true);
+    expect(release.isHeadStopped(held, 300)).toBe(true);
   });
 });
--- a/test/control/engine_orders.test.ts
+++ b/test/control/engine_orders.test.ts
@@ -69,15 +69,15 @@
       probe: () => Promise.resolve(true),
     };
     const dispatcher = OrderDispatcher.create({
-      duties: {heartbeatMs: HEARTBEAT_MS, stallMs: STALL_MS, orders},
+      poolSettings: {heartbeatMs: HEARTBEAT_MS, stallMs: STALL_MS, orders},
       runtime: {raft: {term: 3}} as unknown as RaftRuntime,
       registry: createRegistry(clock),
-      desk: {hasServed},
+      gateways: {hasServed},
       clock,
       events: EventRing.create(),
     });
     const give = async (order: Order) => {
-      dispatcher.give(order, PROFILE, clock.now());
+      dispatcher.dispatch(order, PROFILE, clock.now());
       await settle();
     };
     return {clock, sent, answers, expected, dispatcher, give};
@@ -186,7 +186,7 @@
       await loadOn('join', incarnation);
     }
     expect(sent.slice(3)).toHaveLength(6);
-    expect(dispatcher.findLoading('e6')).toBe('low');
+    expect(dispatcher.findLoadingModel('e6')).toBe('low');
   });
 
   test('loads beyond the limit wait', async () => {
@@ -213,13 +213,13 @@
       },
     };
     const health = BackendFailureDetector.create({
-      duties: {heartbeatMs: HEARTBEAT_MS, stallMs: STALL_MS, orders},
+      poolSettings: {heartbeatMs: HEARTBEAT_MS, stallMs: STALL_MS, orders},
       clock,
       registry,
       events: EventRing.create(),
-      desk: {
-        isStalled: incarnation => incarnation === words.stalled,
-        findHeardAt: incarnation =>
+      gateways: {
+        isReportedStalled: incarnation => incarnation === words.stalled,
+        findLastActivityAt: incarnation =>
           incarnation === words.answering ? clock.now() : -Infinity,
       },
     });
@@ -293,8 +293,8 @@
     const clock = new HandClock();
     const release = HeadStopDetector.create(createRegistry(clock), STALL_MS);
     release.refresh([ended], 0);
-    expect(release.isLetGo(ended, STALL_MS)).toBe(false);
-    expect(release.isLetGo(ended, STALL_MS + 501)).toBe(true);
+    expect(release.isHeadStopped(ended, STALL_MS)).toBe(false);
+    expect(release.isHeadStopped(ended, STALL_MS + 501)).toBe(true);
   });
 
   test('holds its members as long as none of them has left', () => {
@@ -306,8 +306,8 @@
     );
     const held = group(['a', 'b'], {isEnding: true});
     release.refresh([held], 0);
-    expect(release.hasLeaver(held)).toBe(false);
-    expect(release.isLetGo(held, 10 * STALL_MS)).toBe(false);
+    expect(release.hasDepartedMember(held)).toBe(false);
+    expect(release.isHeadStopped(held, 10 * STALL_MS)).toBe(false);
   });
 
   test('is gone when another start has its address', () => {
@@ -317,6 +317,6 @@
       createRegistry(clock, views),
       STALL_MS,
     );
-    expect(release.isLetGo(group(['a', 'b']), 0)).toBe(true);
+    expect(release.isHeadStopped(group(['a', 'b']), 0)).toBe(true);
   });
 });
--- a/test/control/lost_member_stays_lost.test.ts
+++ b/test/control/lost_member_stays_lost.test.ts
@@ -19,7 +19,7 @@
   ['a', 'b'].forEach(name => registry.record(host(name).registration, 900));
   const answering = new Set(['a:1']);
   const health = BackendFailureDetector.create({
-    duties: {
+    poolSettings: {
       heartbeatMs: 1_200,
       stallMs: 5_000,
       orders: {
@@ -30,9 +30,9 @@
     clock,
     registry,
     events: EventRing.create(),
-    desk: {
-      isStalled: incarnation => incarnation === 'a',
-      findHeardAt: () => 1_000 - LAST_HEARD_MS,
+    gateways: {
+      isReportedStalled: incarnation => incarnation === 'a',
+      findLastActivityAt: () => 1_000 - LAST_HEARD_MS,
     },
   });
   const look = async (
--- a/test/control/partitioned_groups.test.ts
+++ b/test/control/partitioned_groups.test.ts
@@ -62,7 +62,7 @@
     identity: 'c/1',
   });
   const health = BackendFailureDetector.create({
-    duties: {
+    poolSettings: {
       heartbeatMs: HEARTBEAT_MS,
       stallMs: 5_000,
       orders: {
@@ -74,7 +74,7 @@
     clock,
     registry,
     events,
-    desk,
+    gateways: desk,
   });
   const lostAt = new Map<string, number>();
   for (; clock.time < story.forMs; clock.time += STEP_MS) {
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -190,9 +190,9 @@
       if (!desk || gateway.isCutOff) {
         return;
       }
-      desk.recordWords(`g${gateway.index}`, words);
+      desk.recordReports(`g${gateway.index}`, words);
       const tag = desk.readTag();
-      const news = tag === limitsTag ? [] : desk.describeSince(limitsTag);
+      const news = tag === limitsTag ? [] : desk.listChangesSince(limitsTag);
       this.actAt(gateway, this.drawDelay(), () => {
         if (gateway.limits === limits) {
           limits.applyNews(words, tag, news);
@@ -215,7 +215,7 @@
       clock: this.time,
       events: EventRing.create(),
       leaderName: `c${term}`,
-      announce: () =>
+      notifyGateways: () =>
         this.gateways.forEach(gateway => this.wake(gateway, term)),
     });
   }
