--- a/src/control/backend_failure_detector.ts
+++ b/src/control/backend_health.ts
@@ -28,7 +28,7 @@
 const SETTLED_PROBE_INTERVAL_MS = 1_000;
 
 /** A backend server that is suspected to have failed. */
-interface Suspicion {
+interface ProbeState {
   failures: number;
   /** The head of its group; undefined while neither it nor its group is suspected. */
   head: string | undefined;
@@ -43,7 +43,7 @@
 }
 
 /** Dependencies of the detector. */
-interface BackendFailureDetectorOptions {
+interface BackendHealthOptions {
   readonly poolSettings: NonNullable<ControlSettings['pools']>;
   readonly clock: Clock;
   readonly registry: BackendRegistry;
@@ -55,31 +55,27 @@
 }
 
 /** Suspects silent or stalled backend servers, and probes them until they fail or recover. */
-export class BackendFailureDetector {
-  private readonly suspicions = new Map<string, Suspicion>();
+export class BackendHealth {
+  private readonly probeStates = new Map<string, ProbeState>();
 
-  private constructor(
-    private readonly options: BackendFailureDetectorOptions,
-  ) {}
+  private constructor(private readonly options: BackendHealthOptions) {}
 
   /**
-   * Creates a detector without any suspicions.
+   * Creates a detector that suspects no backend server.
    *
    * @example
-   * const detector = BackendFailureDetector.create({poolSettings, clock, registry, events, gateways});
+   * const health = BackendHealth.create({poolSettings, clock, registry, events, gateways});
    */
-  static create(
-    options: BackendFailureDetectorOptions,
-  ): BackendFailureDetector {
-    return new BackendFailureDetector(options);
+  static create(options: BackendHealthOptions): BackendHealth {
+    return new BackendHealth(options);
   }
 
-  /** Drops every suspicion, since another process led meanwhile. */
+  /** Drops all state, since another process led meanwhile. */
   clear(): void {
-    this.suspicions.clear();
+    this.probeStates.clear();
   }
 
-  /** Updates the suspicions and sends the probes that are due. */
+  /** Decides which members of groups are suspected to have failed, and sends the probes that are due. */
   refresh(groups: readonly EngineGroup[], now: number): void {
     const {gateways, registry, poolSettings} = this.options;
     this.recordLosses();
@@ -100,25 +96,25 @@
       }
     }
     this.removeRecovered(suspected);
-    for (const [incarnation, suspicion] of this.suspicions) {
-      suspicion.head = suspected.get(incarnation)?.head;
-      suspicion.isStalled = suspected.get(incarnation)?.isStalled ?? false;
+    for (const [incarnation, state] of this.probeStates) {
+      state.head = suspected.get(incarnation)?.head;
+      state.isStalled = suspected.get(incarnation)?.isStalled ?? false;
     }
     suspected.forEach(({address, head, isStalled}, incarnation) => {
-      const suspicion =
-        this.suspicions.get(incarnation) ?? this.addSuspicion(incarnation);
-      suspicion.head = head;
-      suspicion.isStalled = isStalled;
-      this.probe(incarnation, suspicion, address, now);
+      const state =
+        this.probeStates.get(incarnation) ?? this.startProbing(incarnation);
+      state.head = head;
+      state.isStalled = isStalled;
+      this.probe(incarnation, state, address, now);
     });
   }
 
   /** Makes new losses permanent before the groups they were found in change. */
   private recordLosses(): void {
-    for (const [incarnation, suspicion] of this.suspicions) {
-      const isNewLoss = !suspicion.isLost && this.hasFailedProbes(suspicion);
+    for (const [incarnation, state] of this.probeStates) {
+      const isNewLoss = !state.isLost && this.hasFailedProbes(state);
       // Reports about its group end with the group, but the backend server is still dead.
-      suspicion.isLost ||= isNewLoss;
+      state.isLost ||= isNewLoss;
       if (isNewLoss) {
         this.recordEvent('backend-lost', incarnation, 'it failed its probes');
       }
@@ -127,11 +123,11 @@
 
   /** A suspicion ends when the backend server registers again, not when its group ends. */
   private removeRecovered(suspected: ReadonlyMap<string, unknown>): void {
-    for (const [incarnation, {probedAt}] of this.suspicions) {
+    for (const [incarnation, {probedAt}] of this.probeStates) {
       const view = this.options.registry.find(incarnation);
       const hasRegistered = view !== undefined && view.seenAt > probedAt;
       if (!suspected.has(incarnation) && hasRegistered) {
-        this.suspicions.delete(incarnation);
+        this.probeStates.delete(incarnation);
         this.recordEvent('backend-trusted', incarnation, 'it registered again');
       }
     }
@@ -139,23 +135,20 @@
 
   /** True if it failed its probes while its group sent nothing to any gateway. */
   isLost(incarnation: string): boolean {
-    const suspicion = this.suspicions.get(incarnation);
-    return (
-      suspicion !== undefined &&
-      (suspicion.isLost || this.hasFailedProbes(suspicion))
-    );
+    const state = this.probeStates.get(incarnation);
+    return state !== undefined && (state.isLost || this.hasFailedProbes(state));
   }
 
-  private hasFailedProbes(suspicion: Suspicion): boolean {
-    const needed = suspicion.isStalled ? FAILED_PROBES_STALLED : FAILED_PROBES;
-    return suspicion.failures >= needed && !this.isGroupActive(suspicion);
+  private hasFailedProbes(state: ProbeState): boolean {
+    const needed = state.isStalled ? FAILED_PROBES_STALLED : FAILED_PROBES;
+    return state.failures >= needed && !this.isGroupActive(state);
   }
 
   /** A head that lost a member sends nothing, so output of the head proves that all are alive. */
   private isGroupActive({
     head,
     isStalled,
-  }: Pick<Suspicion, 'head' | 'isStalled'>): boolean {
+  }: Pick<ProbeState, 'head' | 'isStalled'>): boolean {
     const {gateways, clock} = this.options;
     const withinMs = isStalled ? ACTIVITY_VALID_STALLED_MS : ACTIVITY_VALID_MS;
     return (
@@ -164,13 +157,13 @@
     );
   }
 
-  private addSuspicion(incarnation: string): Suspicion {
+  private startProbing(incarnation: string): ProbeState {
     this.recordEvent(
       'backend-doubted',
       incarnation,
       'it missed registrations, or a gateway reports its group as stalled',
     );
-    const suspicion = {
+    const state = {
       failures: 0,
       head: undefined,
       isStalled: false,
@@ -179,37 +172,37 @@
       probedAt: -Infinity,
       isLost: false,
     };
-    this.suspicions.set(incarnation, suspicion);
-    return suspicion;
+    this.probeStates.set(incarnation, state);
+    return state;
   }
 
   private probe(
     incarnation: string,
-    suspicion: Suspicion,
+    state: ProbeState,
     address: string,
     now: number,
   ): void {
-    const isSettled = suspicion.hasAnswered || this.isLost(incarnation);
+    const isSettled = state.hasAnswered || this.isLost(incarnation);
     const intervalMs = isSettled
       ? SETTLED_PROBE_INTERVAL_MS
       : PROBE_INTERVAL_MS;
-    const isDue = now - suspicion.probedAt >= intervalMs;
-    if (suspicion.isProbing || !isDue) {
+    const isDue = now - state.probedAt >= intervalMs;
+    if (state.isProbing || !isDue) {
       return;
     }
-    suspicion.isProbing = true;
-    suspicion.probedAt = now;
+    state.isProbing = true;
+    state.probedAt = now;
     const {orders} = this.options.poolSettings;
     void (orders?.probe(address, incarnation) ?? Promise.resolve(true)).then(
       isAnswering => {
-        suspicion.isProbing = false;
-        suspicion.hasAnswered = isAnswering;
-        suspicion.isLost &&= !isAnswering;
-        suspicion.failures = isAnswering ? 0 : suspicion.failures + 1;
+        state.isProbing = false;
+        state.hasAnswered = isAnswering;
+        state.isLost &&= !isAnswering;
+        state.failures = isAnswering ? 0 : state.failures + 1;
       },
       () => {
-        suspicion.isProbing = false;
-        suspicion.failures += 1;
+        state.isProbing = false;
+        state.failures += 1;
       },
     );
   }
@@ -218,7 +211,7 @@
     const {events, registry, clock, gateways} = this.options;
     const seenAt = registry.find(id)?.seenAt;
     const silentMs = seenAt === undefined ? -1 : clock.now() - seenAt;
-    const head = this.suspicions.get(id)?.head;
+    const head = this.probeStates.get(id)?.head;
     const headHeardAt =
       head === undefined ? -Infinity : gateways.findLastActivityAt(head);
     const details = {
--- a/src/control/backend_registry.ts
+++ b/src/control/backend_registry.ts
@@ -186,14 +186,9 @@
       const {incarnation: holderIncarnation} = holder.registration;
       this.onStale({registration, holder: holderIncarnation});
     }
-    const hasHolderRegistered = holder.seenAt >= since;
-    this.suspectedStaleSince.set(
-      incarnation,
-      hasHolderRegistered ? now : since,
-    );
-    return (
-      hasHolderRegistered || now - since < this.heartbeatMs * TAKEOVER_INTERVALS
-    );
+    const isHolderAlive = holder.seenAt >= since;
+    this.suspectedStaleSince.set(incarnation, isHolderAlive ? now : since);
+    return isHolderAlive || now - since < this.heartbeatMs * TAKEOVER_INTERVALS;
   }
 
   private isPossiblyStale(
--- a/src/control/create_call_handlers.ts
+++ b/src/control/create_call_handlers.ts
@@ -141,7 +141,7 @@
       };
     },
     'drain-ask': request => drain(request, context),
-    'lift-ask': request => liftVerdict(request, context),
+    'lift-ask': request => revokeVerdict(request, context),
     ...context.gateways.handlers,
     ...context.suspects.handlers,
   };
@@ -225,7 +225,7 @@
   };
 }
 
-async function liftVerdict(
+async function revokeVerdict(
   request: MessageOf<ControlMessage, 'lift-ask'>,
   context: CallContext,
 ): Promise<ControlMessage> {
--- a/src/control/engine_group_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -12,7 +12,7 @@
 import {EngineGroup} from '../protocol/engine_group';
 import {listMemberNames} from '../protocol/list_member_names';
 import {GatewayRules} from '../protocol/gateway_rules';
-import {BackendFailureDetector} from './backend_failure_detector';
+import {BackendHealth} from './backend_health';
 import {BackendRegistry} from './backend_registry';
 import {ControlSettings} from './control_settings';
 import {GatewayService} from './gateway_service';
@@ -27,7 +27,7 @@
 /** Missed registration intervals after which a backend server gets no part in a new group. */
 const SILENT_INTERVALS = 3;
 /** After this many registration intervals without a new host, all live ones are known. */
-const SETTLED_INTERVALS = 0.7;
+const QUIET_INTERVALS = 0.7;
 
 /** Hosts that were moved serve again within this time; their effect on demand doesn't show earlier. */
 const REBALANCE_INTERVAL_MS = 2_500;
@@ -47,7 +47,7 @@
 /** Reconciles groups of engines with the rules in force. */
 export class EngineGroupPlannerLoop {
   private readonly timer: NodeJS.Timeout;
-  private readonly failureDetector: BackendFailureDetector;
+  private readonly health: BackendHealth;
   private readonly headStops: HeadStopDetector;
   private readonly orders: OrderDispatcher;
   /** When hosts were last moved to another model, which limits how often that happens. */
@@ -59,7 +59,7 @@
 
   private constructor(private readonly options: EngineGroupPlannerLoopOptions) {
     const {poolSettings, clock, registry, gateways, events} = options;
-    this.failureDetector = BackendFailureDetector.create({
+    this.health = BackendHealth.create({
       poolSettings,
       clock,
       registry,
@@ -99,7 +99,7 @@
     if (this.plannedTerm !== runtime.raft.term) {
       this.plannedTerm = runtime.raft.term;
       this.orders.clear();
-      this.failureDetector.clear();
+      this.health.clear();
       this.shareAdjusters.clear();
     }
     registry.expire(now);
@@ -129,7 +129,7 @@
       return;
     }
     this.recordHeldModels(groups);
-    this.failureDetector.refresh(groups, now);
+    this.health.refresh(groups, now);
     const domains = countByDomain(this.listHealthy(backends));
     const input = {
       pool: pool.name,
@@ -148,7 +148,7 @@
       findLoading: (incarnation: string) =>
         this.orders.findLoadingModel(incarnation),
       isPressed: (model: string) => gateways.isSaturated(model),
-      isLost: (incarnation: string) => this.failureDetector.isLost(incarnation),
+      isLost: (incarnation: string) => this.health.isLost(incarnation),
       isLetGo: (group: EngineGroup) => this.headStops.isHeadStopped(group, now),
       hasLeaver: (group: EngineGroup) =>
         this.headStops.hasDepartedMember(group),
@@ -205,10 +205,8 @@
 
   /** The first groups are planned only once no more hosts appear, so that each host has its part. */
   private isSettled(backends: readonly BackendView[], now: number): boolean {
-    const newest = Math.max(...backends.map(view => view.firstSeenAt));
-    return (
-      now - newest > this.options.poolSettings.heartbeatMs * SETTLED_INTERVALS
-    );
+    const last = Math.max(...backends.map(view => view.firstSeenAt));
+    return now - last > this.options.poolSettings.heartbeatMs * QUIET_INTERVALS;
   }
 
   /** Members of an ending group still have the weights of its model in memory. */
@@ -225,8 +223,7 @@
     const {engines} = this.options.runtime.state;
     return backends.filter(
       ({registration: {incarnation}}) =>
-        !engines.isRetired(incarnation) &&
-        !this.failureDetector.isLost(incarnation),
+        !engines.isRetired(incarnation) && !this.health.isLost(incarnation),
     );
   }
 
--- a/src/control/gateway_service.ts
+++ b/src/control/gateway_service.ts
@@ -31,7 +31,7 @@
  */
 const BATCH_MS = 5;
 
-type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type Call<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
 /** The newest report of a gateway. */
 interface GatewayReport {
@@ -51,10 +51,7 @@
   readonly identity: string;
 }
 
-/**
- * Serves gateways with rules, routing targets and limits, and combines what they report.
- * Its caller checks that this process leads.
- */
+/** Serves rules, targets and limits to gateways, and combines their reports; its caller checks that this process leads. */
 export class GatewayService {
   private readonly gateways = new Map<string, GatewayReport>();
   /** When a gateway last reported a backend server as stalled, by incarnation. */
@@ -82,17 +79,10 @@
     const {registry, runtime, identity, signal} = options;
     const leaderName = splitIdentity(identity).name;
     this.targets = TargetTable.create({registry, runtime, leaderName});
-    const notifyGateways = () => this.notifyGateways();
-    this.limits = RateLimitService.create({
-      ...options,
-      leaderName,
-      notifyGateways,
-    });
+    const notify = () => this.notifyGateways();
+    this.limits = RateLimitService.create({...options, leaderName, notify});
     signal.subscribe(() => this.scheduleNotification());
-    this.registrations = RegistrationService.create({
-      ...options,
-      notifyGateways,
-    });
+    this.registrations = RegistrationService.create({...options, notify});
     this.handlers = {...this.createHandlers(), ...this.limits.handlers};
   }
 
@@ -146,33 +136,32 @@
 
   private createHandlers() {
     return {
-      'channel-bundle-ask': (request: RequestOf<'channel-bundle-ask'>) =>
+      'channel-bundle-ask': (request: Call<'channel-bundle-ask'>) =>
         this.acceptBundle(request),
-      'source-ask': ({call}: RequestOf<'source-ask'>): ControlMessage => {
+      'source-ask': ({call}: Call<'source-ask'>): ControlMessage => {
         const source = this.options.runtime.state.channel.source ?? null;
         return {type: 'source-answer', call, source};
       },
-      'registration-ask': (request: RequestOf<'registration-ask'>) =>
+      'registration-ask': (request: Call<'registration-ask'>) =>
         this.registrations.register(request),
-      'departure-ask': (request: RequestOf<'departure-ask'>) =>
+      'departure-ask': (request: Call<'departure-ask'>) =>
         this.registrations.depart(request),
-      'leaving-ask': (request: RequestOf<'leaving-ask'>) =>
+      'leaving-ask': (request: Call<'leaving-ask'>) =>
         this.registrations.recordLeaving(request),
-      'gateway-ask': (request: RequestOf<'gateway-ask'>) =>
-        this.answerGateway(request),
+      'gateway-ask': (poll: Call<'gateway-ask'>) => this.answerGateway(poll),
     };
   }
 
   private async acceptBundle({
     call,
     bundle,
-  }: RequestOf<'channel-bundle-ask'>): Promise<ControlMessage> {
+  }: Call<'channel-bundle-ask'>): Promise<ControlMessage> {
     const {settings, runtime, clock} = this.options;
     const startedAt = clock.now();
     if (!settings.trustedChannels?.includes(bundle.channel)) {
       throw new ControlError('the channel %s is not trusted', bundle.channel);
     }
-    const problem = findProblem(bundle);
+    const problem = findRulesError(bundle);
     if (problem !== undefined) {
       const {version} = runtime.state.channel;
       this.recordBundle(bundle, 'bundle-refused', problem, startedAt);
@@ -236,40 +225,36 @@
   }
 
   private async answerGateway(
-    request: RequestOf<'gateway-ask'>,
+    poll: Call<'gateway-ask'>,
   ): Promise<ControlMessage> {
     const {runtime, clock} = this.options;
-    this.recordReport(request, clock.now());
-    if (!request.isUrgent) {
-      await this.waitForUpdate(request);
+    this.recordReport(poll, clock.now());
+    if (!poll.isUrgent) {
+      await this.waitForUpdate(poll);
     }
     const {raft, state} = runtime;
     const now = clock.now();
     const tag = this.targets.readTag(now);
-    const hasNewTargets = request.tableTag !== tag;
-    const hasNewRules = request.rulesVersion !== state.channel.version;
+    const isTableNew = poll.tableTag !== tag;
+    const hasNewRules = poll.rulesVersion !== state.channel.version;
     const {suspects} = state;
-    const {suspectsVersion = 0, limitsTag} = request;
+    const {suspectsVersion = 0, limitsTag} = poll;
     const newLimitsTag = this.limits.readTag();
-    const hasNewSuspects = suspectsVersion !== suspects.version;
+    const isListNew = suspectsVersion !== suspects.version;
     return {
       type: 'gateway-answer',
-      call: request.call,
+      call: poll.call,
       rulesVersion: state.channel.version,
       rules: hasNewRules
         ? this.encodedRules.get(state.channel.rules)
         : undefined,
       tableTag: tag,
-      ...(hasNewTargets
-        ? this.targets.describeChangesSince(request.tableTag, now)
-        : {}),
+      ...(isTableNew ? this.targets.listChangesSince(poll.tableTag, now) : {}),
       isComplete: this.targets.isComplete(now),
-      runningElsewhere: this.countRunningElsewhere(request.gatewayId),
+      runningElsewhere: this.countRunningElsewhere(poll.gatewayId),
       gateways: Math.max(1, this.gateways.size),
       control: [...raft.listVotersAt(raft.commitIndex).keys()],
-      suspects: hasNewSuspects
-        ? suspects.describeSince(suspectsVersion)
-        : undefined,
+      suspects: isListNew ? suspects.describeSince(suspectsVersion) : undefined,
       limitsTag: newLimitsTag,
       limits:
         limitsTag === undefined || limitsTag === newLimitsTag
@@ -279,19 +264,16 @@
   }
 
   /** Holds a long poll until there is an update for its gateway, at most `LONG_POLL_MS`. */
-  private async waitForUpdate(
-    request: RequestOf<'gateway-ask'>,
-  ): Promise<void> {
+  private async waitForUpdate(poll: Call<'gateway-ask'>): Promise<void> {
     const {runtime, clock} = this.options;
     const deadline = clock.now() + LONG_POLL_MS;
     for (;;) {
       const now = clock.now();
       const isUpToDate =
-        request.rulesVersion === runtime.state.channel.version &&
-        (request.suspectsVersion ?? 0) === runtime.state.suspects.version &&
-        (request.limitsTag ?? this.limits.readTag()) ===
-          this.limits.readTag() &&
-        request.tableTag === this.targets.readTag(now);
+        poll.rulesVersion === runtime.state.channel.version &&
+        (poll.suspectsVersion ?? 0) === runtime.state.suspects.version &&
+        (poll.limitsTag ?? this.limits.readTag()) === this.limits.readTag() &&
+        poll.tableTag === this.targets.readTag(now);
       if (!isUpToDate || now >= deadline) {
         return;
       }
@@ -310,7 +292,6 @@
     }, BATCH_MS);
   }
 
-  /** Running requests of the other gateways, by incarnation. */
   private countRunningElsewhere(gatewayId: string): Record<string, number> {
     const own = this.gateways.get(gatewayId)?.running ?? {};
     const elsewhere: Record<string, number> = {};
@@ -335,8 +316,8 @@
     }
   }
 
-  private recordReport(request: RequestOf<'gateway-ask'>, now: number): void {
-    const {gatewayId, running, demand = {}} = request;
+  private recordReport(poll: Call<'gateway-ask'>, now: number): void {
+    const {gatewayId, running, demand = {}} = poll;
     const report = {seenAt: now, running, demand};
     this.addRunning(this.gateways.get(gatewayId), -1);
     this.addRunning(report, 1);
@@ -347,21 +328,16 @@
         this.gateways.delete(id);
       }
     }
-    request.stalled.forEach(incarnation =>
-      this.stalledAt.set(incarnation, now),
-    );
-    request.answering.forEach((incarnation, at) => {
+    poll.stalled.forEach(incarnation => this.stalledAt.set(incarnation, now));
+    poll.answering.forEach((incarnation, index) => {
       // Gateways of older versions report recent activity without its age.
-      const msAgo = request.answeringMsAgo?.[at] ?? 0;
-      const lastActivityAt = Math.max(
-        this.findLastActivityAt(incarnation),
-        now - msAgo,
-      );
-      this.lastActivityAt.set(incarnation, lastActivityAt);
+      const msAgo = poll.answeringMsAgo?.[index] ?? 0;
+      const at = Math.max(this.findLastActivityAt(incarnation), now - msAgo);
+      this.lastActivityAt.set(incarnation, at);
     });
-    this.limits.recordReports(gatewayId, request.limits ?? []);
-    request.pressed.forEach(model => this.saturatedAt.set(model, now));
-    this.hasServedRequests ||= request.hasServed;
+    this.limits.recordReports(gatewayId, poll.limits ?? []);
+    poll.pressed.forEach(model => this.saturatedAt.set(model, now));
+    this.hasServedRequests ||= poll.hasServed;
     this.expireReports(now);
   }
 
@@ -385,8 +361,7 @@
   }
 }
 
-/** Why the rules of a bundle are invalid; undefined if they are valid. */
-function findProblem({rules}: ChannelBundle): string | undefined {
+function findRulesError({rules}: ChannelBundle): string | undefined {
   try {
     checkGatewayRules(rules);
     return undefined;
--- a/src/control/rate_limit_service.ts
+++ b/src/control/rate_limit_service.ts
@@ -16,7 +16,7 @@
 /** Interval between removals of expired limits. */
 const EXPIRY_INTERVAL_MS = 1_000;
 
-type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type Call<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
 /** Dependencies of the service. */
 interface RateLimitServiceOptions {
@@ -29,7 +29,7 @@
   readonly events: EventRing;
   readonly leaderName: string;
   /** Ends the long polls of gateways, so that they get the newest state. */
-  readonly notifyGateways: () => void;
+  readonly notify: () => void;
 }
 
 /** The limits aren't replicated: gateways report the ones that they know to a new leader. */
@@ -53,7 +53,7 @@
    * Creates a service without any limits.
    *
    * @example
-   * const service = RateLimitService.create({runtime, registry, clock, events, leaderName, notifyGateways});
+   * const service = RateLimitService.create({runtime, registry, clock, events, leaderName, notify});
    */
   static create(options: RateLimitServiceOptions): RateLimitService {
     return new RateLimitService(options);
@@ -85,7 +85,7 @@
   }
 
   readonly handlers = {
-    'permit-ask': (request: RequestOf<'permit-ask'>): ControlMessage => {
+    'permit-ask': (request: Call<'permit-ask'>): ControlMessage => {
       const {call, gatewayId, limit} = request;
       const {clock} = this.options;
       this.recordReports(gatewayId, [limit]);
@@ -103,7 +103,7 @@
   };
 
   private recordReport(gatewayId: string, report: LimitWord): void {
-    const {clock, notifyGateways: announce} = this.options;
+    const {clock, notify} = this.options;
     const {incarnation, perSecond, msAgo} = report;
     const at = clock.now() - msAgo;
     const before = this.limits.find(incarnation)?.perSecond;
@@ -122,7 +122,7 @@
     if (perSecond === null || before === undefined) {
       this.changes = [...this.changes, incarnation].slice(-MAX_CHANGES);
       this.changeCount += 1;
-      announce();
+      notify();
     }
     this.lines.record({
       incarnation,
--- a/src/control/registration_service.ts
+++ b/src/control/registration_service.ts
@@ -16,7 +16,7 @@
 /** Used where the interval of registrations isn't configured. */
 const DEFAULT_HEARTBEAT_MS = 1_000;
 
-type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type Call<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
 /** Dependencies of the service. */
 interface RegistrationServiceOptions {
@@ -26,7 +26,7 @@
   readonly clock: Clock;
   readonly events: EventRing;
   /** Ends the long polls of gateways, so that they get the newest state. */
-  readonly notifyGateways: () => void;
+  readonly notify: () => void;
 }
 
 /** Records registrations and retires backend servers that leave; its caller checks that this process leads. */
@@ -41,7 +41,7 @@
    * Creates a service.
    *
    * @example
-   * const service = RegistrationService.create({settings, runtime, registry, clock, events, notifyGateways});
+   * const service = RegistrationService.create({settings, runtime, registry, clock, events, notify});
    */
   static create(options: RegistrationServiceOptions): RegistrationService {
     return new RegistrationService(options);
@@ -51,15 +51,15 @@
   async register({
     call,
     registration,
-  }: RequestOf<'registration-ask'>): Promise<ControlMessage> {
-    const {registry, clock, notifyGateways} = this.options;
+  }: Call<'registration-ask'>): Promise<ControlMessage> {
+    const {registry, clock, notify} = this.options;
     const refusal = this.findRefusal(registration);
     if (refusal !== undefined) {
       this.recordRefusal(registration, refusal);
       return {type: 'registration-answer', call, refusal};
     }
     if (registry.record(registration, clock.now())) {
-      notifyGateways();
+      notify();
       this.recordChange(registration);
     }
     if (registration.isLeaving) {
@@ -73,10 +73,7 @@
    * new leader may not have heard that incarnation yet, and refuses the call until it has
    * listened for long enough.
    */
-  async depart({
-    call,
-    name,
-  }: RequestOf<'departure-ask'>): Promise<ControlMessage> {
+  async depart({call, name}: Call<'departure-ask'>): Promise<ControlMessage> {
     const {runtime, clock, settings} = this.options;
     const incarnation = this.findNewestIncarnation(name);
     const heartbeatMs = settings.pools?.heartbeatMs ?? DEFAULT_HEARTBEAT_MS;
@@ -97,7 +94,7 @@
     call,
     gatewayId,
     incarnations,
-  }: RequestOf<'leaving-ask'>): Promise<ControlMessage> {
+  }: Call<'leaving-ask'>): Promise<ControlMessage> {
     const {runtime, events} = this.options;
     const isActive = (incarnation: string) =>
       !runtime.state.engines.isRetired(incarnation);
--- a/src/control/suspect_service.ts
+++ b/src/control/suspect_service.ts
@@ -16,7 +16,7 @@
 /** A live backend server registers at least once within this time. */
 const REGISTERS_WITHIN_MS = 5_000;
 
-type RequestOf<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
+type Call<T extends ControlMessage['type']> = MessageOf<ControlMessage, T>;
 
 /** Dependencies of the service. */
 interface SuspectServiceOptions {
@@ -45,10 +45,9 @@
   }
 
   readonly handlers = {
-    'ends-ask': (request: RequestOf<'ends-ask'>) =>
-      this.recordSuspects(request),
-    'trial-ask': (request: RequestOf<'trial-ask'>) => this.grantTrial(request),
-    'suspects-ask': ({call}: RequestOf<'suspects-ask'>): ControlMessage => {
+    'ends-ask': (request: Call<'ends-ask'>) => this.recordSuspects(request),
+    'trial-ask': (request: Call<'trial-ask'>) => this.grantTrial(request),
+    'suspects-ask': ({call}: Call<'suspects-ask'>): ControlMessage => {
       const {suspects} = this.options.runtime.state;
       const entries = suspects.list();
       const described = entries.map(([name, suspect]) => ({name, ...suspect}));
@@ -57,7 +56,7 @@
   };
 
   private async recordSuspects(
-    request: RequestOf<'ends-ask'>,
+    request: Call<'ends-ask'>,
   ): Promise<ControlMessage> {
     const {call, gatewayId, crashes, released, cleared} = request;
     const {runtime} = this.options;
@@ -105,7 +104,7 @@
 
   /** The trial is committed to the log, so that no two leaders grant the same backend server. */
   private async grantTrial(
-    request: RequestOf<'trial-ask'>,
+    request: Call<'trial-ask'>,
   ): Promise<ControlMessage> {
     const {call, name, incarnation} = request;
     const {runtime, events} = this.options;
@@ -133,7 +132,7 @@
 
   private recordCrash(
     gatewayId: string,
-    {incarnation, notBegun, begun}: RequestOf<'ends-ask'>['crashes'][number],
+    {incarnation, notBegun, begun}: Call<'ends-ask'>['crashes'][number],
   ): void {
     this.options.events.record({
       type: 'backend-ended',
--- a/src/control/target_table.ts
+++ b/src/control/target_table.ts
@@ -78,7 +78,7 @@
   }
 
   /** The changes since the version with this tag, or the whole table if they aren't known. */
-  describeChangesSince(tag: string, now: number): TableUpdate {
+  listChangesSince(tag: string, now: number): TableUpdate {
     this.refresh(now);
     const at = tag.lastIndexOf('/');
     const missed = this.changeCount - Number(tag.slice(at + 1));
--- a/test/control/engine_orders.test.ts
+++ b/test/control/engine_orders.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, test} from 'vitest';
 import {Clock} from '../../src/common/clock';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendFailureDetector} from '../../src/control/backend_failure_detector';
+import {BackendHealth} from '../../src/control/backend_health';
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {HeadStopDetector} from '../../src/control/head_stop_detector';
 import {TokenBucket} from '../../src/control/token_bucket';
@@ -212,7 +212,7 @@
         return Promise.resolve(answering.has(address));
       },
     };
-    const health = BackendFailureDetector.create({
+    const health = BackendHealth.create({
       poolSettings: {heartbeatMs: HEARTBEAT_MS, stallMs: STALL_MS, orders},
       clock,
       registry,
--- a/test/control/lost_member_stays_lost.test.ts
+++ b/test/control/lost_member_stays_lost.test.ts
@@ -7,7 +7,7 @@
  */
 import {expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendFailureDetector} from '../../src/control/backend_failure_detector';
+import {BackendHealth} from '../../src/control/backend_health';
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {group, host} from '../support/engine_plan';
 
@@ -18,7 +18,7 @@
   const registry = BackendRegistry.create();
   ['a', 'b'].forEach(name => registry.record(host(name).registration, 900));
   const answering = new Set(['a:1']);
-  const health = BackendFailureDetector.create({
+  const health = BackendHealth.create({
     poolSettings: {
       heartbeatMs: 1_200,
       stallMs: 5_000,
@@ -35,9 +35,7 @@
       findLastActivityAt: () => 1_000 - LAST_HEARD_MS,
     },
   });
-  const look = async (
-    groups: Parameters<BackendFailureDetector['refresh']>[0],
-  ) => {
+  const look = async (groups: Parameters<BackendHealth['refresh']>[0]) => {
     health.refresh(groups, clock.time);
     await new Promise(resolve => setImmediate(resolve));
     clock.time += 40;
--- a/test/control/partitioned_groups.test.ts
+++ b/test/control/partitioned_groups.test.ts
@@ -8,7 +8,7 @@
  */
 import {describe, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendFailureDetector} from '../../src/control/backend_failure_detector';
+import {BackendHealth} from '../../src/control/backend_health';
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {ChangeSignal} from '../../src/control/change_signal';
 import {ControlSettings} from '../../src/control/control_settings';
@@ -61,7 +61,7 @@
     events,
     identity: 'c/1',
   });
-  const health = BackendFailureDetector.create({
+  const health = BackendHealth.create({
     poolSettings: {
       heartbeatMs: HEARTBEAT_MS,
       stallMs: 5_000,
--- a/test/control/target_table.test.ts
+++ b/test/control/target_table.test.ts
@@ -47,7 +47,7 @@
     const tag = table.readTag(COMPLETE_AT);
     engines.set(group(['h7', 'h8'], {name: 'g', epoch: 3}));
     register('h7', open('g', 3));
-    const news = table.describeChangesSince(tag, COMPLETE_AT);
+    const news = table.listChangesSince(tag, COMPLETE_AT);
 
     expect(news.isWholeTable).toBe(false);
     expect(news.targets.map(({incarnation}) => incarnation)).toEqual(['h7']);
@@ -71,7 +71,7 @@
     const tag = table.readTag(COMPLETE_AT);
     engines.end('g', 3);
 
-    expect(table.describeChangesSince(tag, COMPLETE_AT)).toEqual({
+    expect(table.listChangesSince(tag, COMPLETE_AT)).toEqual({
       targets: [],
       closed: ['a'],
       retired: [],
@@ -85,20 +85,16 @@
     const tag = table.readTag(COMPLETE_AT);
     raft.term = 2;
 
-    expect(table.describeChangesSince(tag, COMPLETE_AT).isWholeTable).toBe(
-      true,
-    );
+    expect(table.listChangesSince(tag, COMPLETE_AT).isWholeTable).toBe(true);
   });
 
   test('is told whole once the leader has heard everybody', () => {
     const {table, register} = create();
     register('a');
     const early = table.readTag(100);
-    expect(table.describeChangesSince(early, 200).isWholeTable).toBe(false);
+    expect(table.listChangesSince(early, 200).isWholeTable).toBe(false);
 
-    expect(table.describeChangesSince(early, COMPLETE_AT).isWholeTable).toBe(
-      true,
-    );
+    expect(table.listChangesSince(early, COMPLETE_AT).isWholeTable).toBe(true);
   });
 
   test('is told whole to a gateway that missed more than is remembered', () => {
@@ -110,9 +106,7 @@
       table.readTag(COMPLETE_AT);
     }
 
-    expect(table.describeChangesSince(tag, COMPLETE_AT).isWholeTable).toBe(
-      true,
-    );
+    expect(table.listChangesSince(tag, COMPLETE_AT).isWholeTable).toBe(true);
   });
 
   test('gives those that follow by changes what a newcomer gets whole', () => {
@@ -142,7 +136,7 @@
       ];
       acts[draw(acts.length)]();
       if (draw(3) === 0) {
-        const news = table.describeChangesSince(tag, COMPLETE_AT);
+        const news = table.listChangesSince(tag, COMPLETE_AT);
         if (news.isWholeTable) {
           held.clear();
         }
@@ -150,7 +144,7 @@
         news.retired.forEach(incarnation => held.delete(incarnation));
         news.closed.forEach(incarnation => held.delete(incarnation));
         tag = table.readTag(COMPLETE_AT);
-        const whole = table.describeChangesSince('', COMPLETE_AT);
+        const whole = table.listChangesSince('', COMPLETE_AT);
         compared += whole.targets.length;
         expect(new Map(held)).toEqual(
           new Map(whole.targets.map(target => [target.incarnation, target])),
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -215,8 +215,7 @@
       clock: this.time,
       events: EventRing.create(),
       leaderName: `c${term}`,
-      notifyGateways: () =>
-        this.gateways.forEach(gateway => this.wake(gateway, term)),
+      notify: () => this.gateways.forEach(gateway => this.wake(gateway, term)),
     });
   }
 
