--- a/test/control/backend_restarts.test.ts
+++ b/test/control/backend_restarts.test.ts
@@ -8,8 +8,8 @@
 
 function create() {
   const registry = BackendRegistry.create(HEARTBEAT_MS);
-  /** One call of a start of the backend server `n`, which tells when it started. */
-  const call = (
+  /** Registers the incarnation of backend server `n` that started at this time. */
+  const register = (
     startedAt: number,
     sequence: number,
     now: number,
@@ -24,58 +24,58 @@
     return registry.record(registration, now);
   };
   const list = () => registry.list().map(view => view.registration.incarnation);
-  return {registry, call, list};
+  return {registry, register, list};
 }
 
-describe('a backend server that starts again under its name', () => {
-  test('is another one from its first call that is heard, however many came before it', () => {
-    const {registry, call, list} = create();
-    call(1_000, 40, 0);
+describe('a backend server that restarts under its name', () => {
+  test('replaces its predecessor with the first registration received, whatever its sequence number', () => {
+    const {registry, register, list} = create();
+    register(1_000, 40, 0);
     registry.recordHeldModel('n@1000', 'big');
 
-    expect(call(2_000, 9, 500)).toBe(true);
+    expect(register(2_000, 9, 500)).toBe(true);
 
     expect(list()).toEqual(['n@2000']);
     expect(registry.find('n@2000')?.heldModel).toBeUndefined();
   });
 
-  test('is known at another address, too', () => {
-    const {call, list} = create();
-    call(1_000, 40, 0);
-    call(2_000, 1, 500, 'b:1');
+  test('replaces its predecessor at another address as well', () => {
+    const {register, list} = create();
+    register(1_000, 40, 0);
+    register(2_000, 1, 500, 'b:1');
     expect(list()).toEqual(['n@2000']);
   });
 
-  test('stays when a call of the start before comes late, also one of its first calls', () => {
-    const {call, list} = create();
-    call(2_000, 1, 0);
-    expect(call(1_000, 2, 100)).toBe(false);
-    expect(call(1_000, 41, 200)).toBe(false);
+  test('stays when a delayed registration of its predecessor arrives, even one of the first', () => {
+    const {register, list} = create();
+    register(2_000, 1, 0);
+    expect(register(1_000, 2, 100)).toBe(false);
+    expect(register(1_000, 41, 200)).toBe(false);
     expect(list()).toEqual(['n@2000']);
   });
 
-  test('is taken although its clock was set back, once the start before is silent', () => {
-    const {call, list} = create();
-    call(2_000, 40, 0);
-    call(1_000, 1, 500);
+  test('replaces a silent predecessor although its clock was set back', () => {
+    const {register, list} = create();
+    register(2_000, 40, 0);
+    register(1_000, 1, 500);
     expect(list()).toEqual(['n@2000']);
-    call(1_000, 2, 1_500);
-    call(1_000, 3, 2_500);
+    register(1_000, 2, 1_500);
+    register(1_000, 3, 2_500);
     expect(list()).toEqual(['n@1000']);
   });
 
-  test('proves that it counts on nobody any more as the head that it was', () => {
-    const {registry, call} = create();
-    call(1_000, 40, 0);
+  test('proves that its predecessor no longer acts as the head of a group', () => {
+    const {registry, register} = create();
+    register(1_000, 40, 0);
     const ended = {...group(['n@1000', 'b']), isEnding: true};
     const [, member] = ended.members;
     const head = {incarnation: 'n@1000', name: 'n', address: 'a:1'};
-    const release = HeadStopDetector.create(registry, STALL_MS);
+    const headStops = HeadStopDetector.create(registry, STALL_MS);
     const held = {...ended, members: [head, member]};
-    expect(release.isHeadStopped(held, 100)).toBe(false);
+    expect(headStops.isHeadStopped(held, 100)).toBe(false);
 
-    call(2_000, 1, 200, 'b:1');
+    register(2_000, 1, 200, 'b:1');
 
-    expect(release.isHeadStopped(held, 300)).toBe(true);
+    expect(headStops.isHeadStopped(held, 300)).toBe(true);
   });
 });
--- a/test/control/control_server.test.ts
+++ b/test/control/control_server.test.ts
@@ -11,7 +11,7 @@
 
 afterEach(() => vi.restoreAllMocks());
 
-test('a quorum is formed once, however slow the disk is', async () => {
+test('a quorum is formed only once on a slow disk', async () => {
   const save = SnapshotStore.prototype.save;
   const spy = vi
     .spyOn(SnapshotStore.prototype, 'save')
@@ -28,7 +28,7 @@
     trustedKeys: [],
     leaseMs: 5_000,
   });
-  await waitUntil('the lead', () =>
+  await waitUntil('the election', () =>
     control.events.listSince(0).some(event => event.type === 'became-leader'),
   );
 
@@ -39,11 +39,10 @@
   await control.close();
 });
 
-// A process whose disk was lost came back while the new disk was full for half a
-// second, and ended by itself with "cannot write the snapshot /data/snapshot: no room",
-// since a write for want of room was tried again everywhere but before the first
-// snapshot. Found by the simulation of the quorum, seed 37.
-test('a process that has no room for its first snapshot waits until it has', async () => {
+// Writes to a full disk were retried everywhere except for the first snapshot: a process
+// that restarted with a new disk, full for half a second, exited with "cannot write the
+// snapshot /data/snapshot: no room". Found by the quorum simulation with seed 37.
+test('a process retries its first snapshot while the disk is full', async () => {
   const full = new StateError({name: 'DiskFull'}, 'no room');
   const spy = vi
     .spyOn(SnapshotStore.prototype, 'save')
@@ -58,7 +57,11 @@
     leaseMs: 5_000,
   });
   const types = () => control.events.listSince(0).map(({type}) => type);
-  await waitUntil('the lead', () => types().includes('became-leader'), 5_000);
+  await waitUntil(
+    'the election',
+    () => types().includes('became-leader'),
+    5_000,
+  );
 
   expect(spy.mock.calls.length).toBeGreaterThan(1);
   expect(types()).toContain('disk-full');
--- a/test/control/engine_orders.test.ts
+++ b/test/control/engine_orders.test.ts
@@ -17,8 +17,8 @@
 const STALL_MS = 5_000;
 const HEARTBEAT_MS = 1_000;
 
-/** A clock that a test sets. */
-class HandClock implements Clock {
+/** A clock whose time tests set. */
+class ManualClock implements Clock {
   time = 100_000;
 
   now(): number {
@@ -32,31 +32,31 @@
   return registry;
 }
 
-/** Lets promises that are settled take effect. */
-function settle(): Promise<void> {
+/** Waits until callbacks of settled promises have run. */
+function flushPromises(): Promise<void> {
   return new Promise(resolve => setImmediate(resolve));
 }
 
-describe('the allowance of loads', () => {
-  test('never lets more begin than the limit and one bucket', () => {
-    const allowance = TokenBucket.create(3, 0);
+describe('the token bucket of loads', () => {
+  test('allows no more loads than the rate and one full bucket', () => {
+    const bucket = TokenBucket.create(3, 0);
     let taken = 0;
     for (let now = 0; now <= 5_000; now += 10) {
-      taken += allowance.take(3, now) ? 1 : 0;
+      taken += bucket.take(3, now) ? 1 : 0;
     }
     expect(taken).toBe(15);
   });
 
-  test('is empty for a new leader, however long nothing was loaded', () => {
-    const allowance = TokenBucket.create(3, 0);
-    allowance.clear(60_000);
-    expect(allowance.take(3, 60_000)).toBe(false);
+  test('is empty after a change of leaders, however long nothing was loaded', () => {
+    const bucket = TokenBucket.create(3, 0);
+    bucket.clear(60_000);
+    expect(bucket.take(3, 60_000)).toBe(false);
   });
 });
 
 describe('orders to engines', () => {
   function create(hasServed: boolean) {
-    const clock = new HandClock();
+    const clock = new ManualClock();
     const sent: string[] = [];
     const answers: Answer[] = [];
     const expected: number[] = [];
@@ -76,11 +76,11 @@
       clock,
       events: EventRing.create(),
     });
-    const give = async (order: Order) => {
+    const dispatch = async (order: Order) => {
       dispatcher.dispatch(order, PROFILE, clock.now());
-      await settle();
+      await flushPromises();
     };
-    return {clock, sent, answers, expected, dispatcher, give};
+    return {clock, sent, answers, expected, dispatcher, dispatch};
   }
 
   function createOrder(kind: Order['kind'], isLoad = false): Order {
@@ -96,86 +96,86 @@
     };
   }
 
-  test('the same one waits for its effect, another one does not', async () => {
-    const {sent, give} = create(true);
-    await give(createOrder('join'));
-    await give(createOrder('join'));
-    await give(createOrder('open'));
+  test('the same order waits for its effect, a different one does not', async () => {
+    const {sent, dispatch} = create(true);
+    await dispatch(createOrder('join'));
+    await dispatch(createOrder('join'));
+    await dispatch(createOrder('open'));
     expect(sent).toEqual(['join a', 'open a']);
   });
 
-  test('to an engine that is gone are forgotten, to others not', async () => {
-    const {sent, give, dispatcher} = create(true);
-    await give(createOrder('join'));
+  test('to engines that are gone are dropped, those to others are kept', async () => {
+    const {sent, dispatch, dispatcher} = create(true);
+    await dispatch(createOrder('join'));
     dispatcher.retain(new Set(['a']));
-    await give(createOrder('join'));
+    await dispatch(createOrder('join'));
     expect(sent).toEqual(['join a']);
     dispatcher.retain(new Set(['b']));
-    await give(createOrder('join'));
+    await dispatch(createOrder('join'));
     expect(sent).toEqual(['join a', 'join a']);
   });
 
-  test('one that does not fit yet is given again soon', async () => {
-    const {clock, sent, answers, give} = create(true);
+  test('an order that was refused as unfit is sent again after 200 ms', async () => {
+    const {clock, sent, answers, dispatch} = create(true);
     answers.push({outcome: 'unfit'});
-    await give(createOrder('join'));
+    await dispatch(createOrder('join'));
     clock.time += 100;
-    await give(createOrder('join'));
+    await dispatch(createOrder('join'));
     clock.time += 150;
-    await give(createOrder('join'));
+    await dispatch(createOrder('join'));
     expect(sent).toEqual(['join a', 'join a']);
   });
 
-  test('one without an answer is given again before its effect could be missed', async () => {
-    const {clock, sent, answers, give} = create(true);
+  test('an unanswered order is sent again soon', async () => {
+    const {clock, sent, answers, dispatch} = create(true);
     answers.push({outcome: 'unanswered'});
-    await give(createOrder('leave'));
+    await dispatch(createOrder('leave'));
     clock.time += 500;
-    await give(createOrder('leave'));
+    await dispatch(createOrder('leave'));
     expect(sent).toEqual(['leave a', 'leave a']);
   });
 
-  test('the next one expects what the answer before told', async () => {
-    const {answers, expected, give} = create(true);
+  test('an order expects the count of the answer before it', async () => {
+    const {answers, expected, dispatch} = create(true);
     answers.push({outcome: 'begun', ordersTaken: 5});
-    await give(createOrder('join'));
-    await give(createOrder('open'));
+    await dispatch(createOrder('join'));
+    await dispatch(createOrder('open'));
     expect(expected).toEqual([0, 5]);
   });
 
-  test('one after a refusal expects only what the engine reports', async () => {
-    const {answers, expected, give} = create(true);
+  test('an order after a refusal expects no count beyond the one that the engine reports', async () => {
+    const {answers, expected, dispatch} = create(true);
     answers.push({outcome: 'begun', ordersTaken: 5}, {outcome: 'unfit'});
-    await give(createOrder('join'));
-    await give(createOrder('open'));
-    await give(createOrder('close'));
+    await dispatch(createOrder('join'));
+    await dispatch(createOrder('open'));
+    await dispatch(createOrder('close'));
     expect(expected).toEqual([0, 5, 0]);
   });
 
-  test('one about a copy does not let the one about a group be given again', async () => {
-    const {sent, give} = create(false);
-    await give(createOrder('open'));
-    await give(createOrder('stage'));
-    await give(createOrder('open'));
+  test('an order about a copy does not cause one about a group to be repeated', async () => {
+    const {sent, dispatch} = create(false);
+    await dispatch(createOrder('open'));
+    await dispatch(createOrder('stage'));
+    await dispatch(createOrder('open'));
     expect(sent).toEqual(['open a', 'stage a']);
   });
 
-  test('a parked host is not told again when the epoch for parking rises', async () => {
-    const {clock, sent, give} = create(true);
+  test('a parked host gets no second order when the epoch for parking rises', async () => {
+    const {clock, sent, dispatch} = create(true);
     const park = {...createOrder('join'), isParking: true};
-    await give(park);
+    await dispatch(park);
     clock.time += 500;
-    await give({...park, group: group(['a'], {epoch: 8})});
+    await dispatch({...park, group: group(['a'], {epoch: 8})});
     expect(sent).toEqual(['join a']);
   });
 
-  test('second copies leave room for hosts that have no weights', async () => {
-    const {clock, sent, dispatcher, give} = create(true);
+  test('second copies leave capacity for hosts without weights', async () => {
+    const {clock, sent, dispatcher, dispatch} = create(true);
     const loadOn = async (kind: Order['kind'], incarnation: string) => {
       clock.time += 1_000;
-      await give({...createOrder(kind, true), incarnation});
+      await dispatch({...createOrder(kind, true), incarnation});
     };
-    // The first look finds that requests are served and empties the allowance.
+    // The first order finds that requests are served now, which empties the bucket.
     await loadOn('stage', 'x');
     for (const incarnation of ['c1', 'c2', 'c3', 'c4']) {
       await loadOn('stage', incarnation);
@@ -189,26 +189,26 @@
     expect(dispatcher.findLoadingModel('e6')).toBe('low');
   });
 
-  test('loads beyond the limit wait', async () => {
-    const {clock, sent, give} = create(true);
-    await give(createOrder('join', true));
+  test('loads above the rate limit wait', async () => {
+    const {clock, sent, dispatch} = create(true);
+    await dispatch(createOrder('join', true));
     expect(sent).toEqual([]);
     clock.time += 1_000;
-    await give(createOrder('join', true));
+    await dispatch(createOrder('join', true));
     expect(sent).toEqual(['join a']);
   });
 });
 
-describe('the judgement of silent backend servers', () => {
-  function create(words: {stalled?: string; answering?: string}) {
-    const clock = new HandClock();
+describe('the health of silent backend servers', () => {
+  function create(reports: {stalled?: string; answering?: string}) {
+    const clock = new ManualClock();
     const registry = createRegistry(clock);
     const answering = new Set(['a:1', 'b:1']);
-    const asked: string[] = [];
+    const probed: string[] = [];
     const orders: EngineOrders = {
       send: () => Promise.resolve({outcome: 'begun'}),
       probe: address => {
-        asked.push(address);
+        probed.push(address);
         return Promise.resolve(answering.has(address));
       },
     };
@@ -218,42 +218,42 @@
       registry,
       events: EventRing.create(),
       gateways: {
-        isReportedStalled: incarnation => incarnation === words.stalled,
+        isReportedStalled: incarnation => incarnation === reports.stalled,
         findLastActivityAt: incarnation =>
-          incarnation === words.answering ? clock.now() : -Infinity,
+          incarnation === reports.answering ? clock.now() : -Infinity,
       },
     });
     const refresh = async () => {
       health.refresh([group(['a', 'b'])], clock.now());
-      await settle();
+      await flushPromises();
     };
-    const countAsked = (address: string) =>
-      asked.filter(other => other === address).length;
-    return {clock, registry, answering, countAsked, health, refresh};
+    const countProbes = (address: string) =>
+      probed.filter(other => other === address).length;
+    return {clock, registry, answering, countProbes, health, refresh};
   }
 
-  test('one question is enough where a gateway says that the group stalled', async () => {
+  test('needs one failed probe where a gateway reports the group as stalled', async () => {
     const {answering, health, refresh} = create({stalled: 'a'});
     answering.delete('b:1');
     await refresh();
     expect([health.isLost('a'), health.isLost('b')]).toEqual([false, true]);
   });
 
-  // A gateway's word counts for two seconds, and each member of its group was asked
-  // every 150 ms as long, on a new connection each: 247 doubts made 3,200 of 4,711
-  // checks in 12 s of a calm day, and most members had answered the first.
-  test('those that answer are asked again only after a while', async () => {
-    const {clock, answering, countAsked, refresh} = create({stalled: 'a'});
+  // A report of a stalled group is valid for two seconds, and all its members were probed
+  // every 150 ms during that time, on a new connection each: 247 suspicions made 3,200 of
+  // 4,711 probes in 12 s without faults, and most members had answered the first one.
+  test('is probed less often once a member has answered', async () => {
+    const {clock, answering, countProbes, refresh} = create({stalled: 'a'});
     answering.delete('b:1');
     for (let passed = 0; passed < 2_000; passed += 40) {
       await refresh();
       clock.time += 40;
     }
-    expect(countAsked('a:1')).toBeLessThanOrEqual(2);
-    expect(countAsked('b:1')).toBeGreaterThanOrEqual(2);
+    expect(countProbes('a:1')).toBeLessThanOrEqual(2);
+    expect(countProbes('b:1')).toBeGreaterThanOrEqual(2);
   });
 
-  test('two are needed where only registrations are missing', async () => {
+  test('needs two failed probes where only registrations are missing', async () => {
     const {clock, answering, health, refresh} = create({});
     answering.delete('b:1');
     clock.time += HEARTBEAT_MS * 3;
@@ -264,7 +264,7 @@
     expect(health.isLost('b')).toBe(true);
   });
 
-  test('nobody is asked while a gateway hears from the head', async () => {
+  test('is not probed while a gateway hears from the head', async () => {
     const {clock, answering, health, refresh} = create({answering: 'a'});
     answering.clear();
     clock.time += HEARTBEAT_MS * 10;
@@ -272,7 +272,7 @@
     expect(health.isLost('b')).toBe(false);
   });
 
-  test('a loss ends with a word of the backend server itself', async () => {
+  test('recovers when the backend server registers again', async () => {
     const {clock, registry, answering, health, refresh} = create({
       stalled: 'a',
     });
@@ -289,34 +289,34 @@
 describe('a silent head', () => {
   const ended = group(['a', 'b'], {isEnding: true, isReleased: true});
 
-  test('counts on nobody once the time is over that a stalled group has', () => {
-    const clock = new HandClock();
-    const release = HeadStopDetector.create(createRegistry(clock), STALL_MS);
-    release.refresh([ended], 0);
-    expect(release.isHeadStopped(ended, STALL_MS)).toBe(false);
-    expect(release.isHeadStopped(ended, STALL_MS + 501)).toBe(true);
+  test('counts as stopped after the stall timeout of a released group', () => {
+    const clock = new ManualClock();
+    const headStops = HeadStopDetector.create(createRegistry(clock), STALL_MS);
+    headStops.refresh([ended], 0);
+    expect(headStops.isHeadStopped(ended, STALL_MS)).toBe(false);
+    expect(headStops.isHeadStopped(ended, STALL_MS + 501)).toBe(true);
   });
 
-  test('holds its members as long as none of them has left', () => {
-    const clock = new HandClock();
+  test('keeps its members as long as none of them has left', () => {
+    const clock = new ManualClock();
     const views = [host('b', told('ready', 1))];
-    const release = HeadStopDetector.create(
+    const headStops = HeadStopDetector.create(
       createRegistry(clock, views),
       STALL_MS,
     );
     const held = group(['a', 'b'], {isEnding: true});
-    release.refresh([held], 0);
-    expect(release.hasDepartedMember(held)).toBe(false);
-    expect(release.isHeadStopped(held, 10 * STALL_MS)).toBe(false);
+    headStops.refresh([held], 0);
+    expect(headStops.hasDepartedMember(held)).toBe(false);
+    expect(headStops.isHeadStopped(held, 10 * STALL_MS)).toBe(false);
   });
 
-  test('is gone when another start has its address', () => {
-    const clock = new HandClock();
+  test('counts as stopped when another incarnation has its address', () => {
+    const clock = new ManualClock();
     const views = [host('z', {address: 'a:1'})];
-    const release = HeadStopDetector.create(
+    const headStops = HeadStopDetector.create(
       createRegistry(clock, views),
       STALL_MS,
     );
-    expect(release.isHeadStopped(group(['a', 'b']), 0)).toBe(true);
+    expect(headStops.isHeadStopped(group(['a', 'b']), 0)).toBe(true);
   });
 });
--- a/test/control/gateway_service.test.ts
+++ b/test/control/gateway_service.test.ts
@@ -1,6 +1,6 @@
 /**
- * Load: all processes are killed at the same moment. The leader knows the groups
- * from its log, and backend servers register only an interval later.
+ * After all processes were killed at once, a new leader knows the groups from its log, but
+ * backend servers register only an interval later. Gateways must get targets before that.
  */
 import {describe, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
@@ -18,7 +18,7 @@
 const NOW = 20_000;
 const POOL = {name: 'p', maxConnections: 10, engine: PROFILE};
 
-function create(ledMs: number, rules: unknown = {pools: [POOL]}) {
+function create(leadingMs: number, rules: unknown = {pools: [POOL]}) {
   const engines = EngineGroupTable.create();
   const registry = BackendRegistry.create();
   const runtime = {
@@ -28,11 +28,11 @@
       suspects: SuspectTable.create(),
     },
     raft: {term: 1, commitIndex: 1, listVotersAt: () => new Map([['c', 'c']])},
-    leadingSince: NOW - ledMs,
+    leadingSince: NOW - leadingMs,
     propose: ({incarnation}: {incarnation: string}) =>
       Promise.resolve(engines.retire(incarnation)),
   } as unknown as RaftRuntime;
-  const desk = GatewayService.create({
+  const service = GatewayService.create({
     settings: {} as ControlSettings,
     runtime,
     registry,
@@ -41,8 +41,8 @@
     events: EventRing.create(),
     identity: 'c/1',
   });
-  const ask = async () => {
-    const answer = await desk.handlers['gateway-ask']({
+  const poll = async () => {
+    const answer = await service.handlers['gateway-ask']({
       type: 'gateway-ask',
       call: 1,
       gatewayId: 'g',
@@ -58,34 +58,34 @@
     return answer as MessageOf<ControlMessage, 'gateway-answer'>;
   };
   const listTargets = async () => {
-    const {targets = []} = await ask();
+    const {targets = []} = await poll();
     return targets.map(({incarnation, model}) => `${incarnation} ${model}`);
   };
-  return {engines, registry, desk, ask, listTargets};
+  return {engines, registry, service, poll, listTargets};
 }
 
-describe('a leader that has just begun', () => {
-  test('tells heads of its log that it has not heard yet', async () => {
+describe('a new leader', () => {
+  test('lists heads of committed groups that have not registered yet', async () => {
     const {engines, listTargets} = create(100);
     engines.set(group(['a', 'b']));
     expect(await listTargets()).toEqual(['a low']);
   });
 
-  test('tells no head that says itself that it serves nobody', async () => {
+  test('does not list a head that registered without an open group', async () => {
     const {engines, registry, listTargets} = create(100);
     engines.set(group(['a', 'b']));
     registry.record(host('a').registration, NOW);
     expect(await listTargets()).toEqual([]);
   });
 
-  test('tells no head whose address another start has taken', async () => {
+  test('does not list a head whose address another incarnation has registered', async () => {
     const {engines, registry, listTargets} = create(100);
     engines.set(group(['a', 'b']));
     registry.record(host('c', {address: 'a:1'}).registration, NOW);
     expect(await listTargets()).toEqual([]);
   });
 
-  test('tells no head of a group that ends or has a member that leaves', async () => {
+  test('does not list a head of a group that is ending or has a retired member', async () => {
     const {engines, listTargets} = create(100);
     engines.set(group(['a', 'b'], {isEnding: true}));
     engines.set(group(['c', 'd'], {name: 'low-2', epoch: 8}));
@@ -94,16 +94,16 @@
   });
 });
 
-test('a leader that has led for long tells only heads that it hears', async () => {
+test('a leader that has led for long lists only registered heads', async () => {
   const {engines, listTargets} = create(16_000);
   engines.set(group(['a', 'b']));
   expect(await listTargets()).toEqual([]);
 });
 
-// Rules of 1,400 routes went to 36 gateways, and each answer was encoded by itself: the
-// leader stood still for half a second after each change, "the lead was lost before the
-// answer left", and three versions later it had lost the lead, "no quorum answered in
-// time". A valid change had no acknowledgement for 10 s of calm.
+// Rules with 1,400 routes were encoded separately for each of 36 gateways. That blocked the
+// leader's event loop for half a second after each change, so that answers were dropped;
+// after three changes its lease expired ("no quorum answered in time"). A valid change went
+// unacknowledged for 10 s without any fault.
 test('rules are encoded once for all gateways', async () => {
   const routes = Array.from({length: 1_400}, (_, at) => ({
     name: `route-${at}`,
@@ -124,24 +124,24 @@
     headerTimeoutMs: 1,
     idleTimeoutMs: 1,
   };
-  const {ask} = create(16_000, {version: 1, routes, pools: [POOL], limits});
-  const answers = await Promise.all([1, 2, 3].map(() => ask()));
-  const told = answers.map(({rules}) => rules);
+  const {poll} = create(16_000, {version: 1, routes, pools: [POOL], limits});
+  const answers = await Promise.all([1, 2, 3].map(() => poll()));
+  const encoded = answers.map(({rules}) => rules);
 
-  expect(told[0]).toBeInstanceOf(Uint8Array);
-  expect(told[1]).toBe(told[0]);
-  expect(told[2]).toBe(told[0]);
+  expect(encoded[0]).toBeInstanceOf(Uint8Array);
+  expect(encoded[1]).toBe(encoded[0]);
+  expect(encoded[2]).toBe(encoded[0]);
 });
 
-test('a head that said in an answer that it leaves is told to nobody, whatever it registers', async () => {
-  const {engines, registry, desk, listTargets} = create(100);
+test('a head that announced in a response that it is leaving stays retired, whatever it registers', async () => {
+  const {engines, registry, service, listTargets} = create(100);
   engines.set(group(['a', 'b']));
   expect(await listTargets()).toEqual(['a low']);
-  const ask = {type: 'leaving-ask' as const, call: 1, gatewayId: 'g'};
-  await desk.handlers['leaving-ask']({...ask, incarnations: ['a']});
+  const call = {type: 'leaving-ask' as const, call: 1, gatewayId: 'g'};
+  await service.handlers['leaving-ask']({...call, incarnations: ['a']});
   expect(await listTargets()).toEqual([]);
 
-  // Registrations that do not say so yet change nothing.
+  // A registration that doesn't announce it yet changes nothing.
   registry.record(host('a').registration, NOW);
   expect(await listTargets()).toEqual([]);
   expect(engines.isRetired('a')).toBe(true);
--- a/test/control/lost_member_stays_lost.test.ts
+++ b/test/control/lost_member_stays_lost.test.ts
@@ -1,9 +1,9 @@
 /**
- * A member died, a gateway said that its group had stalled, and one failed question was
- * enough. Once the group was gone the gateway's word no longer concerned the member, two
- * failed questions were needed, and it counted as well again: the next group was formed
- * with it, and ended. "backend-lost" came for the same backend server at 3.78, 3.95, 4.09
- * s and five more times, and each repair took 1.4 s in place of 0.4 s.
+ * A member died and a gateway reported its group as stalled, so that one failed probe made
+ * it lost. When the group had ended, the report no longer applied and two failed probes were
+ * needed, so the member counted as healthy again: the next group was formed with it and
+ * ended in turn. It was taken for lost eight times, at 3.78, 3.95 and 4.09 s for instance,
+ * and each repair took 1.4 s instead of 0.4 s.
  */
 import {expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
@@ -35,35 +35,35 @@
       findLastActivityAt: () => 1_000 - LAST_HEARD_MS,
     },
   });
-  const look = async (groups: Parameters<BackendHealth['refresh']>[0]) => {
+  const refresh = async (groups: Parameters<BackendHealth['refresh']>[0]) => {
     health.refresh(groups, clock.time);
     await new Promise(resolve => setImmediate(resolve));
     clock.time += 40;
   };
-  return {clock, registry, answering, health, look};
+  return {clock, registry, answering, health, refresh};
 }
 
 test('a lost member stays lost once its group is gone', async () => {
-  const {health, look} = create();
-  await look([group(['a', 'b'])]);
+  const {health, refresh} = create();
+  await refresh([group(['a', 'b'])]);
   expect(health.isLost('b')).toBe(true);
-  await look([]);
+  await refresh([]);
   expect(health.isLost('b')).toBe(true);
 });
 
-test('it is well again once it registers', async () => {
-  const {clock, registry, health, look} = create();
-  await look([group(['a', 'b'])]);
+test('it recovers once it registers', async () => {
+  const {clock, registry, health, refresh} = create();
+  await refresh([group(['a', 'b'])]);
   registry.record(host('b', {sequence: 2}).registration, clock.time);
-  await look([]);
+  await refresh([]);
   expect(health.isLost('b')).toBe(false);
 });
 
-test('it is well again once it answers', async () => {
-  const {clock, answering, health, look} = create();
-  await look([group(['a', 'b'])]);
+test('it recovers once it answers a probe', async () => {
+  const {clock, answering, health, refresh} = create();
+  await refresh([group(['a', 'b'])]);
   answering.add('b:1');
   clock.time += 1_000;
-  await look([group(['a', 'b'])]);
+  await refresh([group(['a', 'b'])]);
   expect(health.isLost('b')).toBe(false);
 });
--- a/test/control/partitioned_groups.test.ts
+++ b/test/control/partitioned_groups.test.ts
@@ -1,10 +1,10 @@
 /**
- * Nine backend servers were partitioned from control and not from gateways, and a few
- * links lost packets. One gateway missed an event and said that the group had stalled;
- * one question of control then failed, and five of six groups of a model were ended
- * within 0.8 s, whose members had been heard 0.9 s before ("backend-lost", silentMs 900
- * to 2300). The head of one of them had just given whole answers to five gateways, the
- * last 0.26 s before. 118 of 275 callers were late in that window, and 15 refused.
+ * Nine backend servers were partitioned from the control processes but not from the
+ * gateways, and a few links lost packets. One gateway missed an event and reported a group
+ * as stalled; with that, one failed probe was enough to end a group. Five of six groups of a
+ * model were ended within 0.8 s, though their members had registered 0.9 to 2.3 s before, and
+ * one head had sent complete responses to five gateways, the last 0.26 s before. Of 275
+ * requests, 118 were late and 15 refused.
  */
 import {describe, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
@@ -22,23 +22,23 @@
 
 const HEARTBEAT_MS = 1_200;
 const GATEWAYS = 5;
-const TELL_EVERY_MS = 250;
+const REPORT_INTERVAL_MS = 250;
 const STEP_MS = 10;
 const MEMBERS = ['a', 'b', 'c', 'd'];
 
-type Ask = MessageOf<ControlMessage, 'gateway-ask'>;
+type Poll = MessageOf<ControlMessage, 'gateway-ask'>;
 
-/** When the head last sent anything to gateways, and who cannot be reached from control. */
-interface Story {
+/** When the head stops sending to gateways, and which members the control process can't reach. */
+interface Scenario {
   readonly headSendsUntil: number;
   readonly unreachable: ReadonlySet<string>;
-  /** When one gateway begins to say that the head has stalled. */
+  /** When one gateway begins to report the head as stalled. */
   readonly stalledFrom: number;
-  readonly forMs: number;
+  readonly lengthMs: number;
 }
 
-/** Plays what gateways tell and control asks; tells when members were lost. */
-async function play(story: Story): Promise<Map<string, number>> {
+/** Simulates reports and probes; returns when each member was taken for lost. */
+async function simulate(scenario: Scenario): Promise<Map<string, number>> {
   const clock = {time: 0, now: () => clock.time};
   const registry = BackendRegistry.create();
   MEMBERS.forEach(name => registry.record(host(name).registration, 0));
@@ -52,7 +52,7 @@
     raft: {term: 1, commitIndex: 1, listVotersAt: () => new Map()},
     leadingSince: 0,
   } as unknown as RaftRuntime;
-  const desk = GatewayService.create({
+  const gatewayService = GatewayService.create({
     settings: {} as ControlSettings,
     runtime,
     registry,
@@ -68,22 +68,23 @@
       orders: {
         send: () => Promise.resolve({outcome: 'begun'}),
         probe: address =>
-          Promise.resolve(!story.unreachable.has(address.split(':')[0])),
+          Promise.resolve(!scenario.unreachable.has(address.split(':')[0])),
       },
     },
     clock,
     registry,
     events,
-    gateways: desk,
+    gateways: gatewayService,
   });
   const lostAt = new Map<string, number>();
-  for (; clock.time < story.forMs; clock.time += STEP_MS) {
+  for (; clock.time < scenario.lengthMs; clock.time += STEP_MS) {
     for (let gateway = 0; gateway < GATEWAYS; gateway += 1) {
-      const isTurn =
-        clock.time % TELL_EVERY_MS === gateway * (TELL_EVERY_MS / GATEWAYS);
-      if (isTurn) {
-        const word = createWord(gateway, clock.time, story);
-        await desk.handlers['gateway-ask'](word);
+      const isReportDue =
+        clock.time % REPORT_INTERVAL_MS ===
+        gateway * (REPORT_INTERVAL_MS / GATEWAYS);
+      if (isReportDue) {
+        const report = createReport(gateway, clock.time, scenario);
+        await gatewayService.handlers['gateway-ask'](report);
       }
     }
     health.refresh([group(MEMBERS)], clock.time);
@@ -97,14 +98,14 @@
   return lostAt;
 }
 
-/** The first gateway misses an event where the others hear the head on. */
-function createWord(gateway: number, now: number, story: Story): Ask {
-  const {headSendsUntil, stalledFrom} = story;
+/** From `stalledFrom` on the first gateway reports a stall, the others only if they hear nothing. */
+function createReport(gateway: number, now: number, scenario: Scenario): Poll {
+  const {headSendsUntil, stalledFrom} = scenario;
   const isStalled =
     now >= stalledFrom && (gateway === 0 || now > headSendsUntil + 250);
   const msAgo = Math.max(30, now - headSendsUntil);
   const isHeard = !isStalled && msAgo < 600;
-  const word = {
+  const report = {
     type: 'gateway-ask' as const,
     call: 1,
     gatewayId: `g${gateway}`,
@@ -118,48 +119,48 @@
     hasServed: true,
     isUrgent: true,
   };
-  return word;
+  return report;
 }
 
-describe('a group whose members are cut off from control', () => {
-  test('is kept while gateways hear its head, though one of them does not', async () => {
-    const lostAt = await play({
+describe('a group whose members are partitioned from control', () => {
+  test('is kept while gateways hear its head, although one of them does not', async () => {
+    const lostAt = await simulate({
       headSendsUntil: Infinity,
       unreachable: new Set(['b', 'c']),
       stalledFrom: 1_000,
-      forMs: 8_000,
+      lengthMs: 8_000,
     });
     expect([...lostAt]).toEqual([]);
   });
 
-  test('is lost within half a second once its head stands still', async () => {
-    const lostAt = await play({
+  test('loses an unreachable member within half a second after its head stops sending', async () => {
+    const lostAt = await simulate({
       headSendsUntil: 1_000,
       unreachable: new Set(['b']),
       stalledFrom: 1_200,
-      forMs: 8_000,
+      lengthMs: 8_000,
     });
     expect([...lostAt.keys()]).toEqual(['b']);
     expect(lostAt.get('b')).toBeLessThanOrEqual(1_500);
   });
 
-  test('is lost as soon when it is the head itself that died', async () => {
-    const lostAt = await play({
+  test('loses a dead head just as soon', async () => {
+    const lostAt = await simulate({
       headSendsUntil: 1_000,
       unreachable: new Set(['a']),
       stalledFrom: 1_200,
-      forMs: 8_000,
+      lengthMs: 8_000,
     });
     expect([...lostAt.keys()]).toEqual(['a']);
     expect(lostAt.get('a')).toBeLessThanOrEqual(1_500);
   });
 
-  test('is lost when nobody has work there and it answers no question', async () => {
-    const lostAt = await play({
+  test('loses a member that fails its probes while the group is idle', async () => {
+    const lostAt = await simulate({
       headSendsUntil: -Infinity,
       unreachable: new Set(['b']),
       stalledFrom: Infinity,
-      forMs: 8_000,
+      lengthMs: 8_000,
     });
     expect([...lostAt.keys()]).toEqual(['b']);
     expect(lostAt.get('b')).toBeLessThanOrEqual(HEARTBEAT_MS * 2 + 500);
--- a/test/control/rate_limit_sharing.test.ts
+++ b/test/control/rate_limit_sharing.test.ts
@@ -9,11 +9,11 @@
 const CASES = SIZES.flatMap(gateways =>
   LIMITS.map(limit => [gateways, limit] as const),
 );
-/** A limit is named from here on. */
-const FROM_MS = 2_000;
+/** The backend server announces its limit from this time on. */
+const LIMITED_FROM_MS = 2_000;
 const KNOWN_WITHIN_MS = 1_000;
-/** Demand over the limit, of all gateways together. */
-const DEMAND = 4;
+/** Demand of all gateways together, relative to the limit. */
+const DEMAND_FACTOR = 4;
 const SEED = 7;
 
 function create(
@@ -23,8 +23,8 @@
 ): LimitCrowd {
   return LimitCrowd.create({
     gateways,
-    limitAt: at => (at >= FROM_MS ? limit : undefined),
-    demandAt: () => (Math.max(1, limit) * DEMAND) / gateways,
+    limitAt: at => (at >= LIMITED_FROM_MS ? limit : undefined),
+    demandAt: () => (Math.max(1, limit) * DEMAND_FACTOR) / gateways,
     random: createRandom(SEED),
     ...more,
   });
@@ -32,49 +32,59 @@
 
 const countAllowed = (limit: number) => Math.floor(limit * 4 + 1);
 
-describe('a limit that a backend server names', () => {
+describe('a limit that a backend server announces', () => {
   test.each(CASES)(
-    'is kept by %d gateways together, and used, at %d a second',
+    'is kept and used by %d gateways together at %d requests per second',
     async (gateways, limit) => {
       const crowd = create(gateways, limit);
-      await crowd.run(FROM_MS + 60_000);
+      await crowd.run(LIMITED_FROM_MS + 60_000);
 
       expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(limit));
-      const used = crowd.countSent(FROM_MS + 10_000, FROM_MS + 60_000);
+      const used = crowd.countSent(
+        LIMITED_FROM_MS + 10_000,
+        LIMITED_FROM_MS + 60_000,
+      );
       expect(used).toBeGreaterThanOrEqual(0.9 * limit * 50);
     },
   );
 
-  test.each(SIZES)('is known to all of %d gateways soon', async gateways => {
-    // Only the first one sends anything there.
-    const demandAt = (_at: number, gateway: number) => (gateway === 0 ? 20 : 0);
-    const crowd = create(gateways, 3.7, {demandAt});
-    await crowd.run(FROM_MS);
-    while (crowd.firstNamedAt === undefined) {
-      await crowd.run(crowd.time.now() + 10);
-    }
-    await crowd.run(crowd.firstNamedAt + KNOWN_WITHIN_MS);
-
-    expect(crowd.countKnowing()).toBe(gateways);
-  });
+  test.each(SIZES)(
+    'reaches all of %d gateways within a second',
+    async gateways => {
+      // Only the first gateway sends requests to the backend server.
+      const demandAt = (_at: number, gateway: number) =>
+        gateway === 0 ? 20 : 0;
+      const crowd = create(gateways, 3.7, {demandAt});
+      await crowd.run(LIMITED_FROM_MS);
+      while (crowd.firstNamedAt === undefined) {
+        await crowd.run(crowd.time.now() + 10);
+      }
+      await crowd.run(crowd.firstNamedAt + KNOWN_WITHIN_MS);
 
-  test.each(SIZES)('is over for all of %d gateways soon', async gateways => {
-    const endsAt = FROM_MS + 10_000;
-    const limitAt = (at: number) =>
-      at >= FROM_MS && at < endsAt ? 3.7 : undefined;
-    const crowd = create(gateways, 3.7, {limitAt});
-    await crowd.run(endsAt - 1);
-    expect(crowd.countKnowing()).toBe(gateways);
-    // The next permit and its answer come before the news of it.
-    await crowd.run(endsAt + 500 + KNOWN_WITHIN_MS);
+      expect(crowd.countKnowing()).toBe(gateways);
+    },
+  );
 
-    expect(crowd.countKnowing()).toBe(0);
-  });
+  test.each(SIZES)(
+    'ends at all of %d gateways soon after it is withdrawn',
+    async gateways => {
+      const endsAt = LIMITED_FROM_MS + 10_000;
+      const limitAt = (at: number) =>
+        at >= LIMITED_FROM_MS && at < endsAt ? 3.7 : undefined;
+      const crowd = create(gateways, 3.7, {limitAt});
+      await crowd.run(endsAt - 1);
+      expect(crowd.countKnowing()).toBe(gateways);
+      // The end is learned from the response to the next permitted request.
+      await crowd.run(endsAt + 500 + KNOWN_WITHIN_MS);
+
+      expect(crowd.countKnowing()).toBe(0);
+    },
+  );
 
-  test('of nothing ends, too, though hardly anything is sent', async () => {
-    const endsAt = FROM_MS + 20_000;
+  test('of zero ends as well, although hardly any request is sent', async () => {
+    const endsAt = LIMITED_FROM_MS + 20_000;
     const limitAt = (at: number) =>
-      at >= FROM_MS && at < endsAt ? 0 : undefined;
+      at >= LIMITED_FROM_MS && at < endsAt ? 0 : undefined;
     const crowd = create(16, 0, {limitAt, demandAt: () => 1});
     await crowd.run(endsAt);
     expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(0));
@@ -84,49 +94,59 @@
   });
 
   test.each(SIZES)(
-    'is used wherever the demand goes, of %d',
+    'is used when the demand moves between %d gateways',
     async gateways => {
-      // All demand is at one gateway, and at another every 3 s.
+      // All demand is at one gateway, which changes every 3 s.
       const demandAt = (at: number, gateway: number) =>
         Math.floor(at / 3_000) % gateways === gateway ? 20 : 0;
       const crowd = create(gateways, 5, {demandAt});
-      await crowd.run(FROM_MS + 60_000);
+      await crowd.run(LIMITED_FROM_MS + 60_000);
 
       expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(5));
-      const used = crowd.countSent(FROM_MS + 10_000, FROM_MS + 60_000);
+      const used = crowd.countSent(
+        LIMITED_FROM_MS + 10_000,
+        LIMITED_FROM_MS + 60_000,
+      );
       expect(used).toBeGreaterThanOrEqual(0.9 * 5 * 50);
     },
   );
 
-  test.each(SIZES)('stands when it changes, at %d gateways', async gateways => {
-    const limitAt = (at: number) =>
-      at < FROM_MS ? undefined : at < FROM_MS + 20_000 ? 20 : 2;
-    const demandAt = () => 80 / gateways;
-    const crowd = create(gateways, 20, {limitAt, demandAt});
-    await crowd.run(FROM_MS + 40_000);
-
-    expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(20));
-    // Once all have heard and the window of the old limit is over.
-    const changedAt = FROM_MS + 20_000 + KNOWN_WITHIN_MS;
-    expect(crowd.countMost(changedAt)).toBeLessThanOrEqual(countAllowed(2));
-  });
+  test.each(SIZES)(
+    'is kept when it changes, by %d gateways',
+    async gateways => {
+      const limitAt = (at: number) =>
+        at < LIMITED_FROM_MS
+          ? undefined
+          : at < LIMITED_FROM_MS + 20_000
+            ? 20
+            : 2;
+      const demandAt = () => 80 / gateways;
+      const crowd = create(gateways, 20, {limitAt, demandAt});
+      await crowd.run(LIMITED_FROM_MS + 40_000);
+
+      expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(20));
+      // After all gateways know the new limit and the window of the old one is over.
+      const changedAt = LIMITED_FROM_MS + 20_000 + KNOWN_WITHIN_MS;
+      expect(crowd.countMost(changedAt)).toBeLessThanOrEqual(countAllowed(2));
+    },
+  );
 });
 
-test('a figure that changes with each answer wakes no other gateway', async () => {
-  let figure = 5;
-  const limitAt = () => (figure += 0.1);
+test('a limit that changes with each response does not cause updates to other gateways', async () => {
+  let perSecond = 5;
+  const limitAt = () => (perSecond += 0.1);
   const crowd = create(16, 5, {limitAt});
-  await crowd.run(FROM_MS);
+  await crowd.run(LIMITED_FROM_MS);
   const {limitsTag} = crowd.gateways[0].limits.describeNews();
-  await crowd.run(FROM_MS + 10_000);
+  await crowd.run(LIMITED_FROM_MS + 10_000);
 
-  expect(figure).toBeGreaterThan(6);
+  expect(perSecond).toBeGreaterThan(6);
   expect(crowd.gateways[0].limits.describeNews().limitsTag).toBe(limitsTag);
 });
 
-describe('beside faults a limit is kept', () => {
+describe('under faults a limit is kept', () => {
   test.each(CASES)(
-    'by %d gateways, at %d a second',
+    'by %d gateways at %d requests per second',
     async (gateways, limit) => {
       const crowd = create(gateways, limit);
       const {time} = crowd;
@@ -154,7 +174,7 @@
   );
 
   test.each(LIMITS)(
-    'while one leader follows the other, at %d a second',
+    'during repeated changes of the leader, at %d requests per second',
     async limit => {
       const crowd = create(3, limit);
       for (let at = 5_000; at < 30_000; at += 1_000) {
@@ -170,7 +190,7 @@
     },
   );
 
-  test('and a permit that was suspended on its way is not used', async () => {
+  test('and a permit is not used when the gateway was suspended while it waited for it', async () => {
     const steady = {now: () => 0};
     let suspendedMs = 0;
     const limits = BackendLimits.create({
@@ -189,9 +209,9 @@
     expect(await limits.askPermit(BACKEND)).toBeUndefined();
   });
 
-  test('and a new start of the backend server has none', async () => {
+  test('and a new incarnation of the backend server has none', async () => {
     const crowd = create(3, 5);
-    await crowd.run(FROM_MS + 5_000);
+    await crowd.run(LIMITED_FROM_MS + 5_000);
     const [{limits}] = crowd.gateways;
 
     expect(limits.isLimited(BACKEND)).toBe(true);
--- a/test/control/repeated_bundle.test.ts
+++ b/test/control/repeated_bundle.test.ts
@@ -1,8 +1,8 @@
 /**
- * Whoever changes the rules sends the same change again while no answer came, to any
- * control process. The leader wrote it into its log once more each time: a change
- * that took longer than a call was written and copied again and again, which made
- * the next call take longer still. Two calls with one change made two entries.
+ * A client that changes the rules repeats its call, to any control process, until it gets an
+ * answer. The leader appended the bundle to its log for each call: a change that took longer
+ * than the timeout of a call was proposals and replicated again and again, which slowed down
+ * the following calls even more.
  */
 import {expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
@@ -38,7 +38,7 @@
     leadingSince: 0,
     propose: () => new Promise(resolve => proposed.push(resolve)),
   } as unknown as RaftRuntime;
-  const desk = GatewayService.create({
+  const service = GatewayService.create({
     settings: {trustedChannels: ['operators']} as unknown as ControlSettings,
     runtime,
     registry: BackendRegistry.create(),
@@ -48,7 +48,7 @@
     identity: 'c/1',
   });
   const accept = (call: number, bundle = BUNDLE) =>
-    desk.handlers['channel-bundle-ask']({
+    service.handlers['channel-bundle-ask']({
       type: 'channel-bundle-ask',
       call,
       bundle,
@@ -56,41 +56,41 @@
   return {proposed, accept};
 }
 
-test('a change that is sent again while it is under way is written once, and each call is answered', async () => {
+test('a bundle that is sent again before it is committed is proposed once, and each call is answered', async () => {
   const {proposed, accept} = create();
 
   const answers = [accept(1), accept(2)];
   await Promise.resolve();
-  const written = proposed.length;
+  const proposals = proposed.length;
   proposed.forEach(settle => settle({isAccepted: true, reason: 'in force'}));
 
-  expect(written).toBe(1);
+  expect(proposals).toBe(1);
   expect(
     (await Promise.all(answers)).map(answer => 'call' in answer && answer.call),
   ).toEqual([1, 2]);
 });
 
-test('other content under the same version is a change of its own', async () => {
+test('different content with the same version is proposed separately', async () => {
   const {proposed, accept} = create();
 
   const answers = [accept(1), accept(2, {...BUNDLE, source: 'other'})];
   await Promise.resolve();
-  const written = proposed.length;
+  const proposals = proposed.length;
   proposed.forEach(settle => settle({isAccepted: true, reason: 'in force'}));
   await Promise.all(answers);
 
-  expect(written).toBe(2);
+  expect(proposals).toBe(2);
 });
 
-test('a version that is not above the one in force is acknowledged and not written', async () => {
+test('a version that is not newer than the one in force is acknowledged without a proposal', async () => {
   const {proposed, accept} = create();
   const older = {...BUNDLE, rules: {...BUNDLE.rules, version: 2}};
 
   const answer = accept(1, older);
   await Promise.resolve();
-  const written = proposed.length;
+  const proposals = proposed.length;
   proposed.forEach(settle => settle({isAccepted: false, reason: ''}));
 
-  expect(written).toBe(0);
+  expect(proposals).toBe(0);
   expect(await answer).toMatchObject({version: 2});
 });
--- a/test/control/suspect_service.test.ts
+++ b/test/control/suspect_service.test.ts
@@ -6,7 +6,7 @@
 import {ControlCommand} from '../../src/protocol/control_command';
 import {ClusterState} from '../../src/state/cluster_state';
 
-/** A leader whose log takes everything at once, on a clock and timers of the test. */
+/** A leader that commits proposals at once, on a manual clock and timers. */
 function start() {
   const state = ClusterState.create();
   let time = 0;
@@ -21,7 +21,7 @@
     },
   } as unknown as RaftRuntime;
   const events = EventRing.create();
-  const desk = SuspectService.create({
+  const service = SuspectService.create({
     runtime,
     events,
     registry,
@@ -37,14 +37,14 @@
   });
   return {
     state,
-    desk,
+    service,
     events,
     wait: async (ms: number) => {
       time += ms;
       due.filter(({at}) => at <= time).forEach(({act}) => act());
       await new Promise(resolve => setImmediate(resolve));
     },
-    hear: (incarnation: string, sequence: number) =>
+    register: (incarnation: string, sequence: number) =>
       registry.record(
         {
           incarnation,
@@ -58,8 +58,8 @@
         },
         time,
       ),
-    tellEnd: (incarnation: string, notBegun: string[]) =>
-      desk.handlers['ends-ask']({
+    reportCrash: (incarnation: string, notBegun: string[]) =>
+      service.handlers['ends-ask']({
         type: 'ends-ask',
         call: 1,
         gatewayId: 'g',
@@ -70,11 +70,11 @@
   };
 }
 
-test('an end is taken back when its backend server goes on speaking', async () => {
-  const {state, events, hear, tellEnd, wait} = start();
-  await tellEnd('i1', ['p']);
+test('a crash is withdrawn when the same incarnation goes on registering', async () => {
+  const {state, events, register, reportCrash, wait} = start();
+  await reportCrash('i1', ['p']);
   await wait(9_000);
-  hear('i1', 7);
+  register('i1', 7);
   await wait(2_000);
   expect(state.suspects.find('p')).toBeUndefined();
   expect(events.listSince(0).map(({type}) => type)).toEqual([
@@ -85,29 +85,29 @@
   ]);
 });
 
-test('words that were on their way when it ended take nothing back', async () => {
-  const {state, hear, tellEnd, wait} = start();
-  await tellEnd('i1', ['p']);
+test('a registration that was in flight during the crash does not withdraw it', async () => {
+  const {state, register, reportCrash, wait} = start();
+  await reportCrash('i1', ['p']);
   await wait(3_000);
-  hear('i1', 7);
+  register('i1', 7);
   await wait(8_000);
   expect(state.suspects.find('p')?.standing).toBe('suspected');
 });
 
-test('what said goodbye before was not ended by what ran there', async () => {
-  const {state, tellEnd} = start();
+test('the end of a backend server that had deregistered is not blamed on its requests', async () => {
+  const {state, reportCrash} = start();
   const reason = 'it said goodbye';
   const command = {type: 'retire-backend' as const, time: 1, reason};
   state.apply({index: 9, term: 1, command: {...command, incarnation: 'i1'}});
-  await tellEnd('i1', ['p']);
+  await reportCrash('i1', ['p']);
   expect(state.suspects.find('p')).toBeUndefined();
 });
 
-test('a verdict is in the journal with what led to it, and outlasts a snapshot', async () => {
-  const {state, tellEnd} = start();
-  await tellEnd('i1', ['p']);
-  await tellEnd('i2', ['p']);
-  await tellEnd('i3', ['p']);
+test('a verdict is in the journal with its evidence, and survives a snapshot', async () => {
+  const {state, reportCrash} = start();
+  await reportCrash('i1', ['p']);
+  await reportCrash('i2', ['p']);
+  await reportCrash('i3', ['p']);
   const copy = ClusterState.create(state.save());
   expect(copy.suspects.find('p')?.standing).toBe('convicted');
   expect(
--- a/test/control/target_table.test.ts
+++ b/test/control/target_table.test.ts
@@ -1,7 +1,7 @@
 /**
- * Load: 370 backend servers that register again and again, with news of joins and
- * weights, and 36 gateways that follow. 1,573 registrations with news in 24 s each
- * raised the table's version, and each version went whole to every gateway.
+ * With 370 backend servers and 36 gateways, 1,573 registrations in 24 s reported joins or
+ * loaded weights. Each raised the version of the table, and each version was sent whole to
+ * every gateway.
  */
 import {describe, expect, test} from 'vitest';
 import {BackendRegistry} from '../../src/control/backend_registry';
@@ -39,7 +39,7 @@
 }
 
 describe('the table of targets', () => {
-  test('tells a gateway that follows what changed, and nothing else', () => {
+  test('sends only the changes to a gateway that is up to date', () => {
     const {table, engines, register} = create();
     for (let at = 0; at < 300; at += 1) {
       register(`h${at}`);
@@ -47,14 +47,14 @@
     const tag = table.readTag(COMPLETE_AT);
     engines.set(group(['h7', 'h8'], {name: 'g', epoch: 3}));
     register('h7', open('g', 3));
-    const news = table.listChangesSince(tag, COMPLETE_AT);
+    const update = table.listChangesSince(tag, COMPLETE_AT);
 
-    expect(news.isWholeTable).toBe(false);
-    expect(news.targets.map(({incarnation}) => incarnation)).toEqual(['h7']);
-    expect(news.closed).toEqual([]);
+    expect(update.isWholeTable).toBe(false);
+    expect(update.targets.map(({incarnation}) => incarnation)).toEqual(['h7']);
+    expect(update.closed).toEqual([]);
   });
 
-  test('stays as it is while members register with news of their own', () => {
+  test('does not change when a member other than the head registers a change', () => {
     const {table, register} = create();
     register('a');
     register('b');
@@ -64,7 +64,7 @@
     expect(table.readTag(COMPLETE_AT)).toBe(tag);
   });
 
-  test('tells that a head closed', () => {
+  test('reports a head that was closed', () => {
     const {table, engines, register} = create();
     engines.set(group(['a', 'b'], {name: 'g', epoch: 3}));
     register('a', open('g', 3));
@@ -79,7 +79,7 @@
     });
   });
 
-  test('is told whole to a gateway that followed another leader', () => {
+  test('is sent whole to a gateway with the table of another leader', () => {
     const {table, raft, register} = create();
     register('a');
     const tag = table.readTag(COMPLETE_AT);
@@ -88,7 +88,7 @@
     expect(table.listChangesSince(tag, COMPLETE_AT).isWholeTable).toBe(true);
   });
 
-  test('is told whole once the leader has heard everybody', () => {
+  test('is sent whole once the leader has heard all backend servers', () => {
     const {table, register} = create();
     register('a');
     const early = table.readTag(100);
@@ -97,7 +97,7 @@
     expect(table.listChangesSince(early, COMPLETE_AT).isWholeTable).toBe(true);
   });
 
-  test('is told whole to a gateway that missed more than is remembered', () => {
+  test('is sent whole to a gateway that missed more changes than are kept', () => {
     const {table, engines, register} = create();
     const tag = table.readTag(COMPLETE_AT);
     for (let epoch = 1; epoch < 1_200; epoch += 1) {
@@ -109,11 +109,11 @@
     expect(table.listChangesSince(tag, COMPLETE_AT).isWholeTable).toBe(true);
   });
 
-  test('gives those that follow by changes what a newcomer gets whole', () => {
+  test('gives the same targets by changes as in whole', () => {
     const {table, engines, registry, register} = create();
     const random = createRandom(11);
     const draw = (count: number) => Math.floor(random() * count);
-    const held = new Map<string, GatewayTarget>();
+    const received = new Map<string, GatewayTarget>();
     const epochs = new Map<string, number>();
     let tag = '';
     let compared = 0;
@@ -125,7 +125,7 @@
         engines.set(group([head, `m${step}`], {name, epoch: step}));
         epochs.set(head, step);
       };
-      const acts = [
+      const actions = [
         form,
         () => register(head, open(name, epoch)),
         () => register(head, open(name, epoch)),
@@ -134,19 +134,21 @@
         () => engines.end(name, epoch),
         () => (draw(3) === 0 ? engines.retire(`m${epoch}`) : undefined),
       ];
-      acts[draw(acts.length)]();
+      actions[draw(actions.length)]();
       if (draw(3) === 0) {
-        const news = table.listChangesSince(tag, COMPLETE_AT);
-        if (news.isWholeTable) {
-          held.clear();
+        const update = table.listChangesSince(tag, COMPLETE_AT);
+        if (update.isWholeTable) {
+          received.clear();
         }
-        news.targets.forEach(target => held.set(target.incarnation, target));
-        news.retired.forEach(incarnation => held.delete(incarnation));
-        news.closed.forEach(incarnation => held.delete(incarnation));
+        update.targets.forEach(target =>
+          received.set(target.incarnation, target),
+        );
+        update.retired.forEach(incarnation => received.delete(incarnation));
+        update.closed.forEach(incarnation => received.delete(incarnation));
         tag = table.readTag(COMPLETE_AT);
         const whole = table.listChangesSince('', COMPLETE_AT);
         compared += whole.targets.length;
-        expect(new Map(held)).toEqual(
+        expect(new Map(received)).toEqual(
           new Map(whole.targets.map(target => [target.incarnation, target])),
         );
       }
