--- a/test/control/engine_orders.test.ts
+++ b/test/control/engine_orders.test.ts
@@ -104,7 +104,7 @@
     expect(sent).toEqual(['join a', 'open a']);
   });
 
-  test('to engines that are gone are dropped, those to others are kept', async () => {
+  test('those to engines that are gone are dropped, others are kept', async () => {
     const {sent, dispatch, dispatcher} = create(true);
     await dispatch(createOrder('join'));
     dispatcher.retain(new Set(['a']));
@@ -199,7 +199,7 @@
   });
 });
 
-describe('the health of silent backend servers', () => {
+describe('a silent backend server', () => {
   function create(reports: {stalled?: string; answering?: string}) {
     const clock = new ManualClock();
     const registry = createRegistry(clock);
@@ -232,7 +232,7 @@
     return {clock, registry, answering, countProbes, health, refresh};
   }
 
-  test('needs one failed probe where a gateway reports the group as stalled', async () => {
+  test('is lost after one failed probe if a gateway reports its group as stalled', async () => {
     const {answering, health, refresh} = create({stalled: 'a'});
     answering.delete('b:1');
     await refresh();
@@ -242,7 +242,7 @@
   // A report of a stalled group is valid for two seconds, and all its members were probed
   // every 150 ms during that time, on a new connection each: 247 suspicions made 3,200 of
   // 4,711 probes in 12 s without faults, and most members had answered the first one.
-  test('is probed less often once a member has answered', async () => {
+  test('is probed less often once it has answered', async () => {
     const {clock, answering, countProbes, refresh} = create({stalled: 'a'});
     answering.delete('b:1');
     for (let passed = 0; passed < 2_000; passed += 40) {
@@ -253,7 +253,7 @@
     expect(countProbes('b:1')).toBeGreaterThanOrEqual(2);
   });
 
-  test('needs two failed probes where only registrations are missing', async () => {
+  test('is lost after two failed probes if only registrations are missing', async () => {
     const {clock, answering, health, refresh} = create({});
     answering.delete('b:1');
     clock.time += HEARTBEAT_MS * 3;
@@ -264,7 +264,7 @@
     expect(health.isLost('b')).toBe(true);
   });
 
-  test('is not probed while a gateway hears from the head', async () => {
+  test('is not probed while a gateway hears from the head of its group', async () => {
     const {clock, answering, health, refresh} = create({answering: 'a'});
     answering.clear();
     clock.time += HEARTBEAT_MS * 10;
@@ -272,7 +272,7 @@
     expect(health.isLost('b')).toBe(false);
   });
 
-  test('recovers when the backend server registers again', async () => {
+  test('recovers when it registers again', async () => {
     const {clock, registry, answering, health, refresh} = create({
       stalled: 'a',
     });
--- a/test/control/rate_limit_sharing.test.ts
+++ b/test/control/rate_limit_sharing.test.ts
@@ -48,22 +48,18 @@
     },
   );
 
-  test.each(SIZES)(
-    'reaches all of %d gateways within a second',
-    async gateways => {
-      // Only the first gateway sends requests to the backend server.
-      const demandAt = (_at: number, gateway: number) =>
-        gateway === 0 ? 20 : 0;
-      const crowd = create(gateways, 3.7, {demandAt});
-      await crowd.run(LIMITED_FROM_MS);
-      while (crowd.firstNamedAt === undefined) {
-        await crowd.run(crowd.time.now() + 10);
-      }
-      await crowd.run(crowd.firstNamedAt + KNOWN_WITHIN_MS);
-
-      expect(crowd.countKnowing()).toBe(gateways);
-    },
-  );
+  test.each(SIZES)('reaches all of %d gateways soon', async gateways => {
+    // Only the first gateway sends requests to the backend server.
+    const demandAt = (_at: number, gateway: number) => (gateway === 0 ? 20 : 0);
+    const crowd = create(gateways, 3.7, {demandAt});
+    await crowd.run(LIMITED_FROM_MS);
+    while (crowd.firstNamedAt === undefined) {
+      await crowd.run(crowd.time.now() + 10);
+    }
+    await crowd.run(crowd.firstNamedAt + KNOWN_WITHIN_MS);
+
+    expect(crowd.countKnowing()).toBe(gateways);
+  });
 
   test.each(SIZES)(
     'ends at all of %d gateways soon after it is withdrawn',
