--- a/src/control/backend_registry.ts
+++ b/src/control/backend_registry.ts
@@ -48,7 +48,7 @@
    * Creates an empty registry.
    *
    * @param heartbeatMs interval of registrations
-   * @param onStale called once for each incarnation whose registrations are ignored as stale
+   * @param onStale called when registrations of an incarnation begin to be ignored as stale
    * @example
    * const registry = BackendRegistry.create(1000);
    */
@@ -102,9 +102,9 @@
   }
 
   /**
-   * Records the model of a group that an engine was a member of. After it has left, its
-   * registrations no longer name the model, though it can rejoin one without a load; a
-   * new leader knows the model only from the replicated log.
+   * Records the model of a group that an engine was a member of. After the engine has
+   * left, its registrations no longer name the model, but it is still in memory and a group
+   * of that model can be joined at once. A new leader knows it only from the replicated log.
    */
   recordHeldModel(incarnation: string, model: string): void {
     const known = this.views.get(incarnation);
--- a/src/control/order_dispatcher.ts
+++ b/src/control/order_dispatcher.ts
@@ -116,7 +116,7 @@
     }
   }
 
-  /** The model that an engine is loading on the last order. */
+  /** The model of the last ordered load of an engine, while the load may still be running. */
   findLoadingModel(incarnation: string): string | undefined {
     return this.loads.get(incarnation)?.model;
   }
--- a/src/control/rate_limit_service.ts
+++ b/src/control/rate_limit_service.ts
@@ -153,7 +153,7 @@
     return issuer;
   }
 
-  /** Resets the state after another term of this process's leadership began, and removes expired limits. */
+  /** Resets the state in a new term, as another process may have led meanwhile, and removes expired limits. */
   private refresh(): void {
     const {runtime, registry, clock} = this.options;
     const now = clock.now();
--- a/src/control/registration_service.ts
+++ b/src/control/registration_service.ts
@@ -70,8 +70,8 @@
 
   /**
    * Retires the newest incarnation of a backend server that deregisters by its name. A
-   * new leader may not have heard that incarnation yet, and refuses the call until it has
-   * listened for long enough.
+   * new leader may not have heard that incarnation yet, so it refuses the call until it has
+   * listened for `LISTEN_INTERVALS`; after that, the name itself is retired.
    */
   async depart({call, name}: Call<'departure-ask'>): Promise<ControlMessage> {
     const {runtime, clock, settings} = this.options;
--- a/src/control/suspect_service.ts
+++ b/src/control/suspect_service.ts
@@ -82,7 +82,7 @@
     timers.delay(MAX_REGISTRATION_DELAY_MS + REGISTERS_WITHIN_MS, () => {
       const seenAt = registry.find(incarnation)?.seenAt ?? -Infinity;
       if (seenAt > reportedAt + MAX_REGISTRATION_DELAY_MS) {
-        // If this process lost the lead, the crash stays recorded until the next one is judged.
+        // Fails if this process lost the lead; the crash then stays until the next one is judged.
         this.withdrawCrash(incarnation).catch(() => undefined);
       }
     });
@@ -102,7 +102,7 @@
     this.recordChanges(before);
   }
 
-  /** The trial is committed to the log, so that no two leaders grant the same backend server. */
+  /** The trial is committed to the log, so that no two leaders grant a trial on the same backend server. */
   private async grantTrial(
     request: Call<'trial-ask'>,
   ): Promise<ControlMessage> {
--- a/src/control/target_table.ts
+++ b/src/control/target_table.ts
@@ -48,7 +48,7 @@
   private changes: TableChange[] = [];
   /** Number of all changes so far, including those no longer kept. */
   private changeCount = 0;
-  /** Identifies a sequence of changes: one of a leader that may not know all backend servers, or one that does. */
+  /** Identifies a sequence of changes; a new one begins with each term, and when the table becomes complete. */
   private sequenceId = '';
   private isSequenceComplete = false;
   /** Versions of the sources that the table was last computed from. */
