--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -8,7 +8,7 @@
 import {CallerDialect} from './caller_dialect';
 import {GatewayRequest} from './gateway_request';
 import {SendPermit} from './send_permit';
-import {TargetBoard} from './target_board';
+import {LoadBalancer} from './load_balancer';
 
 /** What an attempt needs. */
 interface AttemptOptions {
@@ -22,7 +22,7 @@
   readonly lastEventId?: string;
   readonly maxConnections: number;
   readonly origins: HttpOrigins;
-  readonly board: TargetBoard;
+  readonly board: LoadBalancer;
   readonly signals: BackendSignals;
   readonly dialect: CallerDialect;
   readonly clock: Clock;
@@ -43,13 +43,13 @@
   private isSent = false;
   private sentAt = -Infinity;
   private isEnded = false;
-  private readonly recordTaken: ReturnType<BackendSignals['begin']>;
+  private readonly recordTaken: ReturnType<BackendSignals['beginRequest']>;
   private isHeldBack = false;
 
   private constructor(private readonly options: AttemptOptions) {
     const {signals, target} = options;
     this.quietSince = options.clock.now();
-    this.recordTaken = signals.begin(target.incarnation);
+    this.recordTaken = signals.beginRequest(target.incarnation);
   }
 
   /**
@@ -92,7 +92,7 @@
     const isAllowed = permit
       ? !permit.hasExpired()
       : !signals.limits.isLimited(incarnation);
-    return isAllowed && signals.isWelcome(incarnation);
+    return isAllowed && signals.canSendTo(incarnation);
   }
 
   /** Gives up; the backend server sees its connection close. */
@@ -122,7 +122,7 @@
     const {request, body, target, dialect, origins, board} = this.options;
     const {workspace, remainingMs, lastEventId, maxConnections} = this.options;
     const {incarnation, address} = target;
-    board.recordStart(incarnation, request.promptTokens);
+    board.recordRequestStart(incarnation, request.promptTokens);
     const headers = dialect.createHeaders(request, {
       incarnation,
       workspace,
@@ -172,7 +172,7 @@
     }
     // A head says nothing about progress: it may leave before any work begins.
     if (head.isOtherIncarnation) {
-      board.drop(target.incarnation);
+      board.remove(target.incarnation);
     }
     if (head.isNotRun || head.isOtherIncarnation) {
       this.head = head;
@@ -197,10 +197,10 @@
       return;
     }
     this.quietSince = clock.now();
-    board.recordHeard(target.incarnation);
+    board.recordActivity(target.incarnation);
     if (!this.hasBytes) {
       this.hasBytes = true;
-      board.recordFirst(target.incarnation, request.promptTokens);
+      board.recordResponseStart(target.incarnation, request.promptTokens);
     }
     this.options.onData(chunk);
   }
@@ -247,9 +247,9 @@
     this.recordTaken?.(false);
     const {board, target, request} = this.options;
     if (!this.hasBytes) {
-      board.recordFirst(target.incarnation, request.promptTokens);
+      board.recordResponseStart(target.incarnation, request.promptTokens);
     }
-    board.recordEnd(target.incarnation);
+    board.recordRequestEnd(target.incarnation);
     this.options.onEnd(end);
   }
 }
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -66,8 +66,8 @@
   }
 
   /** What those who choose among backend servers have to know. */
-  readonly openness = {
-    isOpen: (incarnation: string) =>
+  readonly availability = {
+    isAvailable: (incarnation: string) =>
       !this.departures.has(incarnation) &&
       this.limits.isOpen(incarnation) &&
       this.rests.isOpen(incarnation),
@@ -75,7 +75,7 @@
   };
 
   /** False for a backend server to which even what waits for a connection must not go. */
-  isWelcome(incarnation: string): boolean {
+  canSendTo(incarnation: string): boolean {
     const {rests, departures} = this;
     return !rests.isResting(incarnation) && !departures.has(incarnation);
   }
@@ -85,7 +85,7 @@
    *
    * @returns to be told once whether the backend server took it
    */
-  begin(incarnation: string): ((isTaken: boolean) => void) | undefined {
+  beginRequest(incarnation: string): ((isTaken: boolean) => void) | undefined {
     return this.rests.begin(incarnation);
   }
 
@@ -95,14 +95,14 @@
    *
    * @returns milliseconds, Infinity where they keep nothing back; and whether there is no other place
    */
-  takeOpening(incarnations: readonly string[]) {
+  reserveRetry(incarnations: readonly string[]) {
     const rests = incarnations.flatMap(
       incarnation => this.rests.findOpeningMs(incarnation) ?? [],
     );
     const limitedMs = this.limits.takeReturnMs(incarnations);
     return {
       inMs: Math.min(limitedMs, ...rests),
-      isOnlyWay:
+      isOnlyOption:
         incarnations.length > 0 &&
         incarnations.every(
           incarnation =>
@@ -125,7 +125,7 @@
   }
 
   /** Why none of these takes a request; undefined where none said anything. */
-  explainClosed(incarnations: readonly string[]): string | undefined {
+  explainUnavailable(incarnations: readonly string[]): string | undefined {
     const limited = incarnations.filter(incarnation =>
       this.limits.isLimited(incarnation),
     );
--- a/src/gateway/choose_by_level.ts
+++ b/src/gateway/choose_by_water_filling.ts
@@ -15,7 +15,7 @@
  * @example
  * const at = chooseByLevel([4_000, 5_250], 750, Math.random());
  */
-export function chooseByLevel(
+export function chooseByWaterFilling(
   loads: readonly number[],
   unseen: number,
   random: number,
--- a/src/gateway/compute_retry_after_ms.ts
+++ b/src/gateway/compute_retry_after_ms.ts
@@ -1,16 +1,16 @@
-import {PlaceForecast} from './place_forecast';
+import {SlotForecast} from './slot_forecast';
 
 /** Who is refused. */
 interface ReturnInput {
-  readonly forecast: PlaceForecast;
+  readonly forecast: SlotForecast;
   /** Where it would wait for a place; undefined for plain services. */
-  readonly line: string | undefined;
+  readonly queue: string | undefined;
   /** Milliseconds that the caller still waits. */
   readonly leftMs: number;
   /** Part of that time within which callers come back as they are told. */
-  readonly honouredPart: number;
+  readonly maxRetryAfterFraction: number;
   /** When a place falls free that backend servers keep back by their own word; Infinity without one. */
-  readonly openingMs: number;
+  readonly availableInMs: number;
 }
 
 /**
@@ -24,12 +24,18 @@
  * const retryAfterMs = computeRetryAfterMs({forecast, line, leftMs: 8000, honouredPart: 1 / 3, openingMs: Infinity});
  */
 export function computeRetryAfterMs(input: ReturnInput): number {
-  const {forecast, line, leftMs, honouredPart, openingMs} = input;
+  const {
+    forecast,
+    queue: line,
+    leftMs,
+    maxRetryAfterFraction: honouredPart,
+    availableInMs: openingMs,
+  } = input;
   const latestMs = Math.min(leftMs * honouredPart, openingMs);
   if (line === undefined) {
     return latestMs;
   }
-  const returnMs = Math.min(forecast.computeReturnMs(line), latestMs);
-  forecast.recordReturn(line, returnMs);
+  const returnMs = Math.min(forecast.estimateRetryMs(line), latestMs);
+  forecast.recordRetryAfter(line, returnMs);
   return returnMs;
 }
--- a/src/gateway/compute_stall_ms.ts
+++ b/src/gateway/compute_stall_timeout_ms.ts
@@ -15,7 +15,7 @@
  * @example
  * const stallMs = computeStallMs(pool.engine, request.model);
  */
-export function computeStallMs(
+export function computeStallTimeoutMs(
   engine: EngineProfile | undefined,
   model: string | undefined,
 ): number {
--- a/src/gateway/create_flow_parts.ts
+++ b/src/gateway/create_flow_parts.ts
@@ -1,10 +1,10 @@
-import {createStallTimes} from './create_stall_times';
+import {createStallThresholds} from './create_stall_thresholds';
 import {createWorkNames} from './create_work_names';
 import {FlowCourse} from './flow_course';
-import {PlaceWait} from './place_wait';
+import {SlotWait} from './slot_wait';
 import {RepeatPolicy} from './repeat_policy';
 import {RequestFlowOptions} from './request_flow_options';
-import {StallJudge} from './stall_judge';
+import {StallDetector} from './stall_detector';
 
 /**
  * Creates what decides about one request and needs nothing of its flow.
@@ -26,18 +26,18 @@
     names,
     course: FlowCourse.create(arrivedAt),
     policy: RepeatPolicy.create({route, budget, clock, deadlineAt}),
-    stall: StallJudge.create(board, createStallTimes(judged)),
-    wait: PlaceWait.create({
+    stall: StallDetector.create(board, createStallThresholds(judged)),
+    wait: SlotWait.create({
       forecast,
       clock,
       ...names,
       objectiveMs: route.objectiveMs,
       arrivedAt,
       deadlineAt,
-      honouredPart: dialect.honouredPart,
-      patienceMs: dialect.computePatienceMs(route),
-      takeOpening: () =>
-        signals.takeOpening(
+      maxRetryAfterFraction: dialect.honouredPart,
+      maxPauseMs: dialect.computePatienceMs(route),
+      reserveRetry: () =>
+        signals.reserveRetry(
           board.listIncarnations({
             pool: pool.name,
             model: pool.engine ? model : undefined,
--- a/src/gateway/create_stall_times.ts
+++ b/src/gateway/create_stall_thresholds.ts
@@ -1,7 +1,7 @@
 import {GatewayRules} from '../protocol/gateway_rules';
-import {computeStallMs} from './compute_stall_ms';
-import {PlaceForecast} from './place_forecast';
-import {StallJudge} from './stall_judge';
+import {computeStallTimeoutMs} from './compute_stall_timeout_ms';
+import {SlotForecast} from './slot_forecast';
+import {StallDetector} from './stall_detector';
 
 const MS_PER_SECOND = 1_000;
 
@@ -13,7 +13,7 @@
   readonly promptTokens: number;
   /** As the forecast names it. */
   readonly work: string;
-  readonly forecast: PlaceForecast;
+  readonly forecast: SlotForecast;
 }
 
 /**
@@ -23,17 +23,17 @@
  * @example
  * const stall = StallJudge.create(board, createStallTimes({route, pool, model, forecast}));
  */
-export function createStallTimes(
+export function createStallThresholds(
   input: StallTimesInput,
-): Parameters<typeof StallJudge.create>[1] {
+): Parameters<typeof StallDetector.create>[1] {
   const {route, pool, model, promptTokens, work, forecast} = input;
   // A prompt far above the usual ones takes its own time to read.
   const tokensPerSecond = pool.engine?.promptTokensPerSecond ?? Infinity;
   const promptMs = (promptTokens / tokensPerSecond) * MS_PER_SECOND;
   return {
-    stallMs: computeStallMs(pool.engine, model),
+    stallMs: computeStallTimeoutMs(pool.engine, model),
     findUsualStartMs: () =>
-      (forecast.findWorkMs(work) || route.objectiveMs) + promptMs,
-    findLongestStartMs: () => forecast.findLongestWorkMs(work) + promptMs,
+      (forecast.findAverageFirstEventMs(work) || route.objectiveMs) + promptMs,
+    findLongestStartMs: () => forecast.findLongestFirstEventMs(work) + promptMs,
   };
 }
--- a/src/gateway/flow_sender.ts
+++ b/src/gateway/flow_sender.ts
@@ -59,7 +59,7 @@
     return board.choose({
       pool: pool.name,
       mayQueue,
-      isSure,
+      excludesLimited: isSure,
       model: pool.engine ? request.model : undefined,
       excluded: this.tried,
     });
@@ -70,7 +70,7 @@
     const {pool, request, board, signals} = this.options.flow;
     const model = pool.engine ? request.model : undefined;
     const known = board.listIncarnations({pool: pool.name, model});
-    const closed = signals.explainClosed(known);
+    const closed = signals.explainUnavailable(known);
     return closed === undefined ? reason : `${reason}; ${closed}`;
   }
 
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -25,13 +25,13 @@
 import {GatewayRequest} from './gateway_request';
 import {GatewaySettings} from './gateway_settings';
 import {GatewayStop} from './gateway_stop';
-import {PlaceForecast} from './place_forecast';
+import {SlotForecast} from './slot_forecast';
 import {PressedModels} from './pressed_models';
 import {RepeatBudget} from './repeat_budget';
 import {RequestFlow} from './request_flow';
 import {RequestIdentity} from './request_identity';
 import {RulesFeed} from './rules_feed';
-import {TargetBoard} from './target_board';
+import {LoadBalancer} from './load_balancer';
 
 /** Between two looks at requests that wait or stall; well under the pauses that matter. */
 const CHECK_MS = 20;
@@ -50,12 +50,12 @@
   readonly events = EventRing.create();
   private readonly clock = systemClock;
   private readonly origins = HttpOrigins.create();
-  private readonly board: TargetBoard;
+  private readonly board: LoadBalancer;
   private readonly feed: RulesFeed;
   private readonly log: GatewayLog;
   private readonly budgets = new Map<string, RepeatBudget>();
   private readonly flows = new Set<RequestFlow>();
-  private readonly forecast = PlaceForecast.create(systemClock);
+  private readonly forecast = SlotForecast.create(systemClock);
   private readonly demand = DemandMeter.create(systemClock);
   private readonly containment: Containment;
   private readonly checkTimer: NodeJS.Timeout;
@@ -99,17 +99,17 @@
     const tellNow = () => this.feed.tellNow();
     const source = {gatewayId, client, events, onNews: tellNow};
     this.signals = createBackendSignals(source);
-    this.board = TargetBoard.create(
+    this.board = LoadBalancer.create(
       zone,
       clock,
       Math.random,
       tellNow,
-      this.signals.openness,
+      this.signals.availability,
     );
     this.containment = Containment.create({
       witness: BreakWitness.create({clock, events}),
       calls: createSuspectCalls(gatewayId, client),
-      onEnded: ended => this.board.recordEnded(ended),
+      onEnded: ended => this.board.recordProcessEnded(ended),
     });
     this.feed = RulesFeed.create({
       gatewayId,
@@ -128,7 +128,7 @@
       confirmationMs,
       changesWithinMs,
       collectNews: () => ({
-        ...this.board.listNews(),
+        ...this.board.describeHealth(),
         pressed: this.pressed.list(),
         hasServed: this.hasServed,
         demand: this.demand.describe(),
--- a/src/gateway/gateway_stop.ts
+++ b/src/gateway/gateway_stop.ts
@@ -3,7 +3,7 @@
 import {EventRing} from '../common/event_ring';
 import {runStop} from '../common/run_stop';
 import {StopSchedule} from '../common/stop_schedule';
-import {LongestTimes} from './longest_times';
+import {SlidingMaximum} from './sliding_maximum';
 import {Refusal} from './refusal';
 
 /** Another gateway can take it now: as soon as a caller can connect anew. */
@@ -32,7 +32,7 @@
 /** Knows whether a gateway stops, and carries the stop out. */
 export class GatewayStop {
   private readonly schedule: StopSchedule;
-  private readonly longest: LongestTimes;
+  private readonly longest: SlidingMaximum;
   /** How long this process took from its start until it listened, in milliseconds. */
   private startMs = 0;
   private takenSince = 0;
@@ -41,7 +41,7 @@
   private constructor(private readonly options: GatewayStopOptions) {
     const {withinMs, clock} = options;
     this.schedule = StopSchedule.create({withinMs});
-    this.longest = LongestTimes.create(clock);
+    this.longest = SlidingMaximum.create(clock);
   }
 
   /**
--- a/src/gateway/target_board.ts
+++ b/src/gateway/load_balancer.ts
@@ -1,7 +1,7 @@
 /** What this gateway knows about backend servers: its own work there, and who stalls. */
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
-import {chooseByLevel} from './choose_by_level';
+import {chooseByWaterFilling} from './choose_by_water_filling';
 import {createTargetKey} from './create_target_key';
 import {UnseenWork} from './unseen_work';
 
@@ -37,7 +37,7 @@
   /** Also targets that have no place free: they queue. */
   readonly mayQueue: boolean;
   /** None that may still deny the request. */
-  readonly isSure?: boolean;
+  readonly excludesLimited?: boolean;
   readonly model?: string;
   /** Keys of targets that were tried in vain. */
   readonly excluded: ReadonlySet<string>;
@@ -45,15 +45,15 @@
 
 /** What targets say of themselves. */
 interface Openness {
-  readonly isOpen: (incarnation: string) => boolean;
+  readonly isAvailable: (incarnation: string) => boolean;
   /** It takes a request by permit only. */
   readonly isLimited: (incarnation: string) => boolean;
 }
 
-const ALWAYS_OPEN: Openness = {isOpen: () => true, isLimited: () => false};
+const ALWAYS_OPEN: Openness = {isAvailable: () => true, isLimited: () => false};
 
 /** Chooses targets and remembers how they did. */
-export class TargetBoard {
+export class LoadBalancer {
   private standings = new Map<string, Standing>();
   /** Since when a group is missing that was there, by model. */
   private readonly missingSince = new Map<string, number>();
@@ -87,8 +87,8 @@
     random: () => number,
     onStalled: () => void = () => undefined,
     openness = ALWAYS_OPEN,
-  ): TargetBoard {
-    return new TargetBoard(zone, clock, random, onStalled, openness);
+  ): LoadBalancer {
+    return new LoadBalancer(zone, clock, random, onStalled, openness);
   }
 
   /** Takes the targets that control tells; what is known of those that stay is kept. */
@@ -179,7 +179,7 @@
     );
     const loads = fit.map(standing => this.computeWork(standing));
     const unseen = this.unseen.compute(createLine(want));
-    return fit[chooseByLevel(loads, unseen, this.random())]?.target;
+    return fit[chooseByWaterFilling(loads, unseen, this.random())]?.target;
   }
 
   /** Starts of backend servers that serve a model of a pool. */
@@ -198,7 +198,7 @@
     );
   }
 
-  recordStart(incarnation: string, promptTokens: number): void {
+  recordRequestStart(incarnation: string, promptTokens: number): void {
     const standing = this.standings.get(incarnation);
     if (standing) {
       const line = createLine(standing.target);
@@ -209,7 +209,7 @@
   }
 
   /** The first part of an answer came: its prompt is read. */
-  recordFirst(incarnation: string, promptTokens: number): void {
+  recordResponseStart(incarnation: string, promptTokens: number): void {
     const standing = this.standings.get(incarnation);
     if (standing) {
       standing.waitingTokens = Math.max(
@@ -219,7 +219,7 @@
     }
   }
 
-  recordEnd(incarnation: string): void {
+  recordRequestEnd(incarnation: string): void {
     const standing = this.standings.get(incarnation);
     if (standing) {
       // It may have been forgotten and told anew meanwhile.
@@ -228,7 +228,7 @@
   }
 
   /** Bytes of an answer came. */
-  recordHeard(incarnation: string): void {
+  recordActivity(incarnation: string): void {
     const standing = this.standings.get(incarnation);
     if (standing) {
       if (this.isStalled(incarnation)) {
@@ -246,7 +246,7 @@
   }
 
   /** When bytes last came from a target. */
-  findHeardAt(incarnation: string): number {
+  findLastActivityAt(incarnation: string): number {
     return this.standings.get(incarnation)?.heardAt ?? -Infinity;
   }
 
@@ -265,7 +265,7 @@
    * Its process has ended: control is told at once, which would else take two
    * intervals of registrations to miss it, and its group as long to be formed anew.
    */
-  recordEnded(incarnation: string): void {
+  recordProcessEnded(incarnation: string): void {
     this.recordStopped(incarnation, UNREACHABLE_MS);
   }
 
@@ -288,12 +288,12 @@
   }
 
   /** Forgets a target whose address is another start of a backend server now. */
-  drop(incarnation: string): void {
+  remove(incarnation: string): void {
     this.standings.delete(incarnation);
   }
 
   /** What control should know. */
-  listNews() {
+  describeHealth() {
     const now = this.clock.now();
     const stalled: string[] = [];
     const answering: string[] = [];
@@ -314,10 +314,13 @@
     return {stalled, answering, answeringMsAgo, running: counts};
   }
 
-  private isOpen({incarnation}: GatewayTarget, {isSure}: Want): boolean {
+  private isOpen(
+    {incarnation}: GatewayTarget,
+    {excludesLimited: isSure}: Want,
+  ): boolean {
     const {openness} = this;
     const isDoubtful = isSure && openness.isLimited(incarnation);
-    return !isDoubtful && openness.isOpen(incarnation);
+    return !isDoubtful && openness.isAvailable(incarnation);
   }
 
   private avoid(incarnation: string, forMs: number): void {
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/request_flow.ts
@@ -8,11 +8,11 @@
 import {FlowCourse} from './flow_course';
 import {FlowResult} from './flow_result';
 import {FlowSender} from './flow_sender';
-import {PlaceWait} from './place_wait';
+import {SlotWait} from './slot_wait';
 import {RepeatPolicy} from './repeat_policy';
 import {RequestFlowOptions} from './request_flow_options';
 import {sendFinalAnswer} from './send_final_answer';
-import {StallJudge} from './stall_judge';
+import {StallDetector} from './stall_detector';
 import {SuspectTrial} from './suspect_trial';
 
 /** Told to the caller of a request that is never sent again, too. */
@@ -28,8 +28,8 @@
   private readonly trial: SuspectTrial;
   private readonly deadlineAt: number;
   private readonly timer: NodeJS.Timeout;
-  private readonly stall: StallJudge;
-  private readonly wait: PlaceWait;
+  private readonly stall: StallDetector;
+  private readonly wait: SlotWait;
   private readonly names: ReturnType<typeof createFlowParts>['names'];
   private isDone = false;
   /** It is being found out whether its backend server has ended. */
@@ -100,10 +100,10 @@
       this.abandon(CONVICTED, FINAL_STATUS.cannotBeRun);
     } else if (this.trial.isUnderWay) {
       this.checkTrial(now);
-    } else if (this.wait.isUnderWay && standing === 'suspected') {
+    } else if (this.wait.isWaiting && standing === 'suspected') {
       this.wait.end();
       this.trial.begin(now);
-    } else if (this.wait.isUnderWay) {
+    } else if (this.wait.isWaiting) {
       this.checkWaiting(now);
     } else if (attempt?.isLeftBehind) {
       attempt.stop('its backend server takes no new work');
@@ -130,11 +130,11 @@
   private checkWaiting(now: number): void {
     const {wait, sender} = this;
     const {wasSent} = this.course;
-    const isTurn = (wasSent || wait.isFirst) && !sender.isAskingPermit;
+    const isTurn = (wasSent || wait.isFirstInQueue) && !sender.isAskingPermit;
     const target = isTurn ? sender.findTarget(wasSent) : undefined;
     if (target) {
       sender.send(target);
-    } else if (!sender.isAskingPermit && !wait.canGoOn(now)) {
+    } else if (!sender.isAskingPermit && !wait.canKeepWaiting(now)) {
       wait.end();
       this.giveUp(sender.explainNoTarget('nobody had a place for it in time'));
     }
@@ -161,7 +161,7 @@
     if (!attempt || !policy.canGoElsewhere) {
       return;
     }
-    const reason = this.stall.findReasonToLeave(attempt, now);
+    const reason = this.stall.findFailoverReason(attempt, now);
     // Without a repeat left it is better to wait on than to break off.
     if (reason && policy.hasRepeat && sender.findTarget(true, true)) {
       attempt.stop(reason);
@@ -183,15 +183,15 @@
     }
     // What has begun elsewhere is worth more than what has not begun at all.
     const mayQueue = this.course.wasSent;
-    const isTurn = mayQueue || wait.isFirst;
+    const isTurn = mayQueue || wait.isFirstInQueue;
     const target = isTurn ? sender.findTarget(mayQueue) : undefined;
     if (target) {
       sender.send(target);
-    } else if (!mayQueue && sender.findTarget(true) && wait.hasHope) {
-      wait.beginInLine();
+    } else if (!mayQueue && sender.findTarget(true) && wait.canStartInTime) {
+      wait.joinQueue();
     } else if (
       !this.canAwaitRepair ||
-      !wait.beginForRepair(this.course.passedAt)
+      !wait.waitForRepair(this.course.passedAt)
     ) {
       this.giveUp(sender.explainNoTarget(whyNot));
     }
@@ -205,7 +205,7 @@
   }
 
   private handleDenied(): void {
-    if (this.isDone || this.wait.isUnderWay || this.trial.isUnderWay) {
+    if (this.isDone || this.wait.isWaiting || this.trial.isUnderWay) {
       return;
     }
     this.trial.end();
@@ -242,7 +242,7 @@
     this.sender.attempt = undefined;
     this.trial.end();
     if (end.kind !== 'not-run') {
-      this.wait.recordPlaceFree();
+      this.wait.recordSlotFreed();
     }
     if (end.isConnectionLost && attempt) {
       void this.handleBreak(attempt, end.reason);
@@ -375,7 +375,7 @@
     const {clock, onDone, forecast} = this.options;
     const {workMs} = this.course;
     if (workMs !== undefined) {
-      forecast.recordWork(this.names.work, workMs);
+      forecast.recordFirstEventMs(this.names.work, workMs);
     }
     onDone({outcome, reason, status, ...this.course.describe(clock.now())});
   }
--- a/src/gateway/request_flow_options.ts
+++ b/src/gateway/request_flow_options.ts
@@ -8,10 +8,10 @@
 import {Containment} from './containment';
 import {FlowResult} from './flow_result';
 import {GatewayRequest} from './gateway_request';
-import {PlaceForecast} from './place_forecast';
+import {SlotForecast} from './slot_forecast';
 import {RepeatBudget} from './repeat_budget';
 import {RequestIdentity} from './request_identity';
-import {TargetBoard} from './target_board';
+import {LoadBalancer} from './load_balancer';
 
 /** What a flow needs. */
 export interface RequestFlowOptions {
@@ -27,9 +27,9 @@
   readonly arrivedAt: number;
   readonly answer: CallerAnswer;
   readonly origins: HttpOrigins;
-  readonly board: TargetBoard;
+  readonly board: LoadBalancer;
   readonly budget: RepeatBudget;
-  readonly forecast: PlaceForecast;
+  readonly forecast: SlotForecast;
   readonly containment: Containment;
   readonly signals: BackendSignals;
   readonly dialect: CallerDialect;
--- a/src/gateway/send_final_answer.ts
+++ b/src/gateway/send_final_answer.ts
@@ -1,7 +1,7 @@
 import {CallerAnswer} from './caller_answer';
 import {FINAL_STATUS} from './final_status';
 import {FlowResult} from './flow_result';
-import {PlaceWait} from './place_wait';
+import {SlotWait} from './slot_wait';
 
 /** What a caller is told that gets no answer of a backend server. */
 interface FinalAnswer {
@@ -11,7 +11,7 @@
   /** Told where the answer has not begun; 503 only for what has not run. */
   readonly status: number;
   /** Knows when the caller may come again, for a request that has not run. */
-  readonly wait: Pick<PlaceWait, 'computeReturnMs'>;
+  readonly wait: Pick<SlotWait, 'computeReturnMs'>;
 }
 
 /**
--- a/src/gateway/longest_times.ts
+++ b/src/gateway/sliding_maximum.ts
@@ -5,7 +5,7 @@
 const WINDOW_MS = 30_000;
 
 /** Remembers over the window that runs and the one before it. */
-export class LongestTimes {
+export class SlidingMaximum {
   private current = new Map<string, number>();
   private previous: ReadonlyMap<string, number> = new Map();
   private windowSince: number;
@@ -20,8 +20,8 @@
    * @example
    * const times = LongestTimes.create(clock);
    */
-  static create(clock: Clock): LongestTimes {
-    return new LongestTimes(clock);
+  static create(clock: Clock): SlidingMaximum {
+    return new SlidingMaximum(clock);
   }
 
   /** Notes how long something took that came to its end, in milliseconds. */
--- a/src/gateway/place_forecast.ts
+++ b/src/gateway/slot_forecast.ts
@@ -1,6 +1,6 @@
 /** How soon a place at the engines of a model falls free, and how long their work takes. */
 import {Clock} from '../common/clock';
-import {LongestTimes} from './longest_times';
+import {SlidingMaximum} from './sliding_maximum';
 
 /** Arrivals that are remembered: several times the ends that they are compared with. */
 const ARRIVALS_COUNTED = 128;
@@ -12,7 +12,7 @@
 const NEWEST_WEIGHT = 0.1;
 
 /** What this gateway has measured. */
-export class PlaceForecast {
+export class SlotForecast {
   /** When requests that held a place ended, by line, oldest first. */
   private readonly ends = new Map<string, number[]>();
   /** From sending to the first event, by kind of work, averaged. */
@@ -24,10 +24,10 @@
   /** Requests that wait for a place, by line, in order of their arrival. */
   private readonly lines = new Map<string, Set<object>>();
 
-  private readonly longest: LongestTimes;
+  private readonly longest: SlidingMaximum;
 
   private constructor(private readonly clock: Clock) {
-    this.longest = LongestTimes.create(clock);
+    this.longest = SlidingMaximum.create(clock);
   }
 
   /**
@@ -36,12 +36,12 @@
    * @example
    * const forecast = PlaceForecast.create(clock);
    */
-  static create(clock: Clock): PlaceForecast {
-    return new PlaceForecast(clock);
+  static create(clock: Clock): SlotForecast {
+    return new SlotForecast(clock);
   }
 
   /** A request gave its place at the engines of a line free. */
-  recordEnd(line: string): void {
+  recordSlotFreed(line: string): void {
     const ends = this.ends.get(line) ?? [];
     ends.push(this.clock.now());
     this.ends.set(line, ends.slice(-ENDS_COUNTED));
@@ -57,36 +57,36 @@
   }
 
   /** A refused caller was told to come back in so many milliseconds. */
-  recordReturn(line: string, inMs: number): void {
+  recordRetryAfter(line: string, inMs: number): void {
     const due = this.listReturns(line);
     this.returns.set(line, [...due, this.clock.now() + inMs]);
   }
 
   /** Notes how long an engine took for its first event, in milliseconds. */
-  recordWork(work: string, tookMs: number): void {
+  recordFirstEventMs(work: string, tookMs: number): void {
     this.longest.record(work, tookMs);
     const known = this.workMs.get(work) ?? tookMs;
     this.workMs.set(work, known + (tookMs - known) * NEWEST_WEIGHT);
   }
 
   /** How long the first event of such work takes once it is sent; 0 when none was seen. */
-  findWorkMs(work: string): number {
+  findAverageFirstEventMs(work: string): number {
     return this.workMs.get(work) ?? 0;
   }
 
   /** The longest that a first event of such work took lately; 0 when none was seen. */
-  findLongestWorkMs(work: string): number {
+  findLongestFirstEventMs(work: string): number {
     return this.longest.find(work);
   }
 
   /** Puts a request at the end of a line. */
-  join(line: string, request: object): void {
+  joinQueue(line: string, request: object): void {
     const waiting = this.lines.get(line) ?? new Set();
     waiting.add(request);
     this.lines.set(line, waiting);
   }
 
-  leave(line: string, request: object): void {
+  leaveQueue(line: string, request: object): void {
     this.lines.get(line)?.delete(request);
   }
 
@@ -103,7 +103,7 @@
    *
    * @returns milliseconds; Infinity when nothing ended here lately
    */
-  computeWaitMs(line: string, request: object): number {
+  estimateWaitMs(line: string, request: object): number {
     const now = this.clock.now();
     const recent = this.listRecentEnds(line, now);
     if (recent.length === 0) {
@@ -121,7 +121,7 @@
    *
    * @returns milliseconds; Infinity while more come than go, or nothing ended lately
    */
-  computeReturnMs(line: string): number {
+  estimateRetryMs(line: string): number {
     const now = this.clock.now();
     const ends = this.listRecentEnds(line, now);
     const [since] = ends;
--- a/src/gateway/place_wait.ts
+++ b/src/gateway/slot_wait.ts
@@ -1,14 +1,14 @@
 /** One request's wait: for a place at an engine, or for somebody who goes on with what has begun. */
 import {Clock} from '../common/clock';
 import {computeRetryAfterMs} from './compute_retry_after_ms';
-import {PlaceForecast} from './place_forecast';
+import {SlotForecast} from './slot_forecast';
 
 /** Left for an event on its way to a caller, in milliseconds. */
 const PASS_ON_MS = 100;
 
 /** Whose wait it is. */
 interface PlaceWaitOptions {
-  readonly forecast: PlaceForecast;
+  readonly forecast: SlotForecast;
   readonly clock: Clock;
   /** Where it waits for a place; undefined where nobody does. */
   readonly line: string | undefined;
@@ -20,23 +20,23 @@
   /** When the caller gives up, on the same clock. */
   readonly deadlineAt: number;
   /** Part of what is left of its time within which it comes back as it is told. */
-  readonly honouredPart: number;
+  readonly maxRetryAfterFraction: number;
   /** How long the caller bears a pause, in milliseconds. */
-  readonly patienceMs: number;
+  readonly maxPauseMs: number;
   /**
    * When a place falls free that backend servers keep back by their own word, in
    * milliseconds, and whether there is no other. It counts as told to a caller.
    */
-  readonly takeOpening: () => {
+  readonly reserveRetry: () => {
     readonly inMs: number;
-    readonly isOnlyWay: boolean;
+    readonly isOnlyOption: boolean;
   };
   /** How long it took lately until a lost group of the model was replaced. */
   readonly findRepairMs: () => number;
 }
 
 /** Knows whether waiting is of use, and when it must end. */
-export class PlaceWait {
+export class SlotWait {
   private until: number | undefined;
   private isForPlace = false;
 
@@ -48,19 +48,19 @@
    * @example
    * const wait = PlaceWait.create({forecast, clock, line, work, objectiveMs, arrivedAt, deadlineAt, honouredPart, patienceMs, findRepairMs});
    */
-  static create(options: PlaceWaitOptions): PlaceWait {
+  static create(options: PlaceWaitOptions): SlotWait {
     if (options.line !== undefined) {
       options.forecast.recordArrival(options.line);
     }
-    return new PlaceWait(options);
+    return new SlotWait(options);
   }
 
-  get isUnderWay(): boolean {
+  get isWaiting(): boolean {
     return this.until !== undefined;
   }
 
   /** Nobody waits for a place before this request. */
-  get isFirst(): boolean {
+  get isFirstInQueue(): boolean {
     const {forecast, line} = this.options;
     return line === undefined || forecast.countAhead(line, this) === 0;
   }
@@ -72,23 +72,25 @@
    * at once would be late, a late answer is still worth more than none: then the
    * first in line waits for the next place, and nobody behind it.
    */
-  get hasHope(): boolean {
+  get canStartInTime(): boolean {
     const {forecast, clock, line, work, objectiveMs} = this.options;
     if (line === undefined) {
       return false;
     }
-    const startsAt = clock.now() + forecast.computeWaitMs(line, this);
-    const isLateAnyway = forecast.findWorkMs(work) > objectiveMs;
+    const startsAt = clock.now() + forecast.estimateWaitMs(line, this);
+    const isLateAnyway = forecast.findAverageFirstEventMs(work) > objectiveMs;
     const latestAt =
-      isLateAnyway && this.isFirst ? this.objectiveAt : this.latestStartAt;
+      isLateAnyway && this.isFirstInQueue
+        ? this.objectiveAt
+        : this.latestStartAt;
     return startsAt <= latestAt;
   }
 
   /** Begins to wait for a place, in line. */
-  beginInLine(): void {
+  joinQueue(): void {
     const {forecast, line} = this.options;
     if (line !== undefined) {
-      forecast.join(line, this);
+      forecast.joinQueue(line, this);
       this.isForPlace = true;
       this.until = this.objectiveAt;
     }
@@ -101,8 +103,8 @@
    * @param passedAt when the caller last got something, or came
    * @returns false where the caller is gone by then, if the last repair tells
    */
-  beginForRepair(passedAt: number): boolean {
-    const {clock, patienceMs, findRepairMs} = this.options;
+  waitForRepair(passedAt: number): boolean {
+    const {clock, maxPauseMs: patienceMs, findRepairMs} = this.options;
     const leavesAt = passedAt + patienceMs - PASS_ON_MS;
     const readyAt = Math.max(clock.now(), passedAt + findRepairMs());
     if (readyAt >= leavesAt) {
@@ -114,38 +116,45 @@
   }
 
   /** True when it may go on waiting. */
-  canGoOn(now: number): boolean {
+  canKeepWaiting(now: number): boolean {
     const isInTime = this.until !== undefined && now < this.until;
-    return isInTime && (!this.isForPlace || this.hasHope);
+    return isInTime && (!this.isForPlace || this.canStartInTime);
   }
 
   /** When its caller should come again, refused now: milliseconds from now. */
   computeReturnMs(): number {
-    const {forecast, line, clock, deadlineAt, honouredPart} = this.options;
+    const {
+      forecast,
+      line,
+      clock,
+      deadlineAt,
+      maxRetryAfterFraction: honouredPart,
+    } = this.options;
     const leftMs = deadlineAt - clock.now();
-    const {inMs: openingMs, isOnlyWay} = this.options.takeOpening();
+    const {inMs: openingMs, isOnlyOption: isOnlyWay} =
+      this.options.reserveRetry();
     return computeRetryAfterMs({
       forecast,
       // Places that fall free at engines which take nothing now are no places.
-      line: isOnlyWay ? undefined : line,
+      queue: isOnlyWay ? undefined : line,
       leftMs,
-      honouredPart,
-      openingMs,
+      maxRetryAfterFraction: honouredPart,
+      availableInMs: openingMs,
     });
   }
 
   /** Its engine is done with it. */
-  recordPlaceFree(): void {
+  recordSlotFreed(): void {
     const {forecast, line} = this.options;
     if (line !== undefined) {
-      forecast.recordEnd(line);
+      forecast.recordSlotFreed(line);
     }
   }
 
   end(): void {
     const {forecast, line} = this.options;
     if (line !== undefined) {
-      forecast.leave(line, this);
+      forecast.leaveQueue(line, this);
     }
     this.until = undefined;
   }
@@ -153,7 +162,7 @@
   /** Sent later, its first event would miss the objective, by how long it takes lately. */
   private get latestStartAt(): number {
     const {forecast, work} = this.options;
-    return this.objectiveAt - forecast.findWorkMs(work);
+    return this.objectiveAt - forecast.findAverageFirstEventMs(work);
   }
 
   private get objectiveAt(): number {
--- a/src/gateway/stall_judge.ts
+++ b/src/gateway/stall_detector.ts
@@ -1,6 +1,6 @@
 /** Decides whether a backend server, or the connection to it, has stopped. */
 import {Attempt} from './attempt';
-import {TargetBoard} from './target_board';
+import {LoadBalancer} from './load_balancer';
 
 /** How much longer than usual a silent backend server may take to begin. */
 const START_MARGIN = 2;
@@ -18,9 +18,9 @@
 }
 
 /** Judges one request's attempts. */
-export class StallJudge {
+export class StallDetector {
   private constructor(
-    private readonly board: TargetBoard,
+    private readonly board: LoadBalancer,
     private readonly times: StallTimes,
   ) {}
 
@@ -30,8 +30,8 @@
    * @example
    * const stall = StallJudge.create(board, {stallMs: 150, findUsualStartMs: () => 200, findLongestStartMs: () => 400});
    */
-  static create(board: TargetBoard, times: StallTimes): StallJudge {
-    return new StallJudge(board, times);
+  static create(board: LoadBalancer, times: StallTimes): StallDetector {
+    return new StallDetector(board, times);
   }
 
   /**
@@ -40,8 +40,8 @@
    * @example
    * const reason = stall.findReasonToLeave(attempt, clock.now());
    */
-  findReasonToLeave(attempt: Attempt, now: number): string | undefined {
-    const stalled = this.findStalled(attempt, now);
+  findFailoverReason(attempt: Attempt, now: number): string | undefined {
+    const stalled = this.detectStall(attempt, now);
     if (!stalled) {
       return undefined;
     }
@@ -60,7 +60,7 @@
    *
    * @returns what seems to have stopped; undefined for nothing
    */
-  findStalled(
+  detectStall(
     attempt: Attempt,
     now: number,
   ): 'target' | 'connection' | undefined {
@@ -70,7 +70,8 @@
     const quietMs = now - attempt.quietSince;
     const isExpected = attempt.hasStarted || board.isStalled(incarnation);
     const startMs = Math.max(stallMs, findUsualStartMs() * START_MARGIN);
-    const isTargetSilent = now - board.findHeardAt(incarnation) > stallMs;
+    const isTargetSilent =
+      now - board.findLastActivityAt(incarnation) > stallMs;
     if (isTargetSilent && quietMs > (isExpected ? stallMs : startMs)) {
       return 'target';
     }
--- a/test/gateway/decisions.test.ts
+++ b/test/gateway/decisions.test.ts
@@ -2,13 +2,13 @@
 import {Clock} from '../../src/common/clock';
 import {Attempt} from '../../src/gateway/attempt';
 import {choosePool} from '../../src/gateway/choose_pool';
-import {computeStallMs} from '../../src/gateway/compute_stall_ms';
+import {computeStallTimeoutMs} from '../../src/gateway/compute_stall_timeout_ms';
 import {EventSplitter} from '../../src/gateway/event_splitter';
-import {PlaceForecast} from '../../src/gateway/place_forecast';
+import {SlotForecast} from '../../src/gateway/slot_forecast';
 import {RepeatBudget} from '../../src/gateway/repeat_budget';
 import {RouteIndex} from '../../src/gateway/route_index';
-import {StallJudge} from '../../src/gateway/stall_judge';
-import {TargetBoard} from '../../src/gateway/target_board';
+import {StallDetector} from '../../src/gateway/stall_detector';
+import {LoadBalancer} from '../../src/gateway/load_balancer';
 import {computeDigest} from '../../src/protocol/compute_digest';
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
@@ -90,7 +90,7 @@
   ) {
     const clock = new HandClock();
     clock.time = 10_000;
-    const board = TargetBoard.create('z', clock, () => 0);
+    const board = LoadBalancer.create('z', clock, () => 0);
     const target = {
       incarnation: 'i',
       pool: 'p',
@@ -100,7 +100,7 @@
     };
     board.setTargets(new Map([['i', target]]));
     clock.time -= heardMsAgo;
-    board.recordHeard('i');
+    board.recordActivity('i');
     clock.time = 10_000;
     const attempt = {
       target,
@@ -114,7 +114,7 @@
       findUsualStartMs: () => 150,
       findLongestStartMs: () => 320,
     };
-    return StallJudge.create(board, times).findStalled(attempt, clock.time);
+    return StallDetector.create(board, times).detectStall(attempt, clock.time);
   }
 
   test('is the backend server when nothing else comes from there either', () => {
@@ -138,44 +138,44 @@
 describe('the forecast of places', () => {
   test('tells each in line when its place falls free, by the newest ends', () => {
     const clock = new HandClock();
-    const forecast = PlaceForecast.create(clock);
+    const forecast = SlotForecast.create(clock);
     const [first, second] = [{}, {}];
-    expect(forecast.computeWaitMs('m', first)).toBe(Infinity);
+    expect(forecast.estimateWaitMs('m', first)).toBe(Infinity);
     for (clock.time = 0; clock.time <= 300; clock.time += 100) {
-      forecast.recordEnd('m');
+      forecast.recordSlotFreed('m');
     }
     // Four ends in 400 ms.
-    expect(forecast.computeWaitMs('m', first)).toBe(100);
-    forecast.join('m', first);
-    expect(forecast.computeWaitMs('m', second)).toBe(200);
-    expect(forecast.computeWaitMs('m', first)).toBe(100);
-    forecast.leave('m', first);
-    expect(forecast.computeWaitMs('m', second)).toBe(100);
+    expect(forecast.estimateWaitMs('m', first)).toBe(100);
+    forecast.joinQueue('m', first);
+    expect(forecast.estimateWaitMs('m', second)).toBe(200);
+    expect(forecast.estimateWaitMs('m', first)).toBe(100);
+    forecast.leaveQueue('m', first);
+    expect(forecast.estimateWaitMs('m', second)).toBe(100);
   });
 
   test('rises while nothing ends, until it knows nothing', () => {
     const clock = new HandClock();
-    const forecast = PlaceForecast.create(clock);
-    forecast.recordEnd('m');
+    const forecast = SlotForecast.create(clock);
+    forecast.recordSlotFreed('m');
     clock.time = 2_000;
-    expect(forecast.computeWaitMs('m', {})).toBe(2_000);
+    expect(forecast.estimateWaitMs('m', {})).toBe(2_000);
     clock.time = 3_000;
-    expect(forecast.computeWaitMs('m', {})).toBe(Infinity);
+    expect(forecast.estimateWaitMs('m', {})).toBe(Infinity);
   });
 
   test('knows how long the work of a route takes, on average and at most', () => {
-    const forecast = PlaceForecast.create(new HandClock());
-    expect(forecast.findWorkMs('r')).toBe(0);
-    forecast.recordWork('r', 100);
-    forecast.recordWork('r', 200);
-    expect(forecast.findWorkMs('r')).toBe(110);
-    expect(forecast.findLongestWorkMs('r')).toBe(200);
+    const forecast = SlotForecast.create(new HandClock());
+    expect(forecast.findAverageFirstEventMs('r')).toBe(0);
+    forecast.recordFirstEventMs('r', 100);
+    forecast.recordFirstEventMs('r', 200);
+    expect(forecast.findAverageFirstEventMs('r')).toBe(110);
+    expect(forecast.findLongestFirstEventMs('r')).toBe(200);
   });
 });
 
 test('a board knows how long the last lost group of a model was missing', () => {
   const clock = new HandClock();
-  const board = TargetBoard.create('z', clock, () => 0);
+  const board = LoadBalancer.create('z', clock, () => 0);
   const place = {pool: 'p', address: 'a:1', zone: 'z', slots: 2, model: 'm'};
   const tell = (epoch?: number) =>
     board.setTargets(
@@ -267,8 +267,8 @@
       openMs: 0,
     };
     // Four steps of 10 ms reading and 10 ms writing at half the time, and a quarter.
-    expect(computeStallMs(engine, 'm')).toBe(50);
-    expect(computeStallMs(undefined, 'm')).toBe(1_000);
+    expect(computeStallTimeoutMs(engine, 'm')).toBe(50);
+    expect(computeStallTimeoutMs(undefined, 'm')).toBe(1_000);
   });
 });
 
@@ -283,7 +283,7 @@
 
   function create(...targets: Array<[string, GatewayTarget]>) {
     const clock = new HandClock();
-    const board = TargetBoard.create('z', clock, () => 0);
+    const board = LoadBalancer.create('z', clock, () => 0);
     board.setTargets(new Map(targets));
     const choose = (mayQueue = false, model?: string) =>
       board.choose({pool: 'p', model, mayQueue, excluded: new Set()})
@@ -297,7 +297,7 @@
       target('near'),
     );
     expect(choose()).toBe('near');
-    board.recordStart('near', 100);
+    board.recordRequestStart('near', 100);
     expect(choose()).toBe('far');
   });
 
@@ -325,12 +325,15 @@
   test('tells control who stalls and who answers', () => {
     const {clock, board} = create(target('a'), target('b'));
     clock.time = 10;
-    board.recordHeard('b');
+    board.recordActivity('b');
     board.recordStalled('a');
-    expect(board.listNews()).toMatchObject({stalled: ['a'], answering: ['b']});
+    expect(board.describeHealth()).toMatchObject({
+      stalled: ['a'],
+      answering: ['b'],
+    });
     clock.time = 20;
-    board.recordHeard('a');
-    expect(board.listNews()).toMatchObject({
+    board.recordActivity('a');
+    expect(board.describeHealth()).toMatchObject({
       stalled: [],
       answering: ['a', 'b'],
     });
@@ -338,7 +341,7 @@
 
   test('says at once that a target stopped, and only once', () => {
     const told: string[] = [];
-    const board = TargetBoard.create(
+    const board = LoadBalancer.create(
       'z',
       new HandClock(),
       () => 0,
@@ -352,7 +355,7 @@
 
   test('keeps what it knows of targets that stay', () => {
     const {board, choose} = create(target('a'), target('b'));
-    board.recordStart('a', 100);
+    board.recordRequestStart('a', 100);
     board.setTargets(new Map([target('a'), target('c')]));
     expect(choose()).toBe('c');
   });
--- a/test/gateway/ended_backend.test.ts
+++ b/test/gateway/ended_backend.test.ts
@@ -3,7 +3,7 @@
  * registrations that did not come, while gateways knew of its end within milliseconds.
  */
 import {expect, test} from 'vitest';
-import {TargetBoard} from '../../src/gateway/target_board';
+import {LoadBalancer} from '../../src/gateway/load_balancer';
 
 const TARGET = {
   incarnation: 'a',
@@ -18,30 +18,30 @@
 test('the end of a backend server is told to control at once', () => {
   const clock = {time: 1_000, now: () => clock.time};
   let told = 0;
-  const board = TargetBoard.create(
+  const board = LoadBalancer.create(
     'z',
     clock,
     () => 0,
     () => (told += 1),
   );
   board.setTargets(new Map([['a', TARGET]]));
-  board.recordStart('a', 100);
-  board.recordHeard('a');
+  board.recordRequestStart('a', 100);
+  board.recordActivity('a');
   clock.time += 100;
-  board.recordEnded('a');
+  board.recordProcessEnded('a');
   expect(told).toBe(1);
-  expect(board.listNews()).toMatchObject({stalled: ['a'], answering: []});
-  board.recordEnded('a');
+  expect(board.describeHealth()).toMatchObject({stalled: ['a'], answering: []});
+  board.recordProcessEnded('a');
   expect(told).toBe(1);
 });
 
 test('what gateways heard is told with its age', () => {
   const clock = {time: 1_000, now: () => clock.time};
-  const board = TargetBoard.create('z', clock, () => 0);
+  const board = LoadBalancer.create('z', clock, () => 0);
   board.setTargets(new Map([['a', TARGET]]));
-  board.recordHeard('a');
+  board.recordActivity('a');
   clock.time += 120;
-  expect(board.listNews()).toMatchObject({
+  expect(board.describeHealth()).toMatchObject({
     answering: ['a'],
     answeringMsAgo: [120],
   });
--- a/test/gateway/request_flow.test.ts
+++ b/test/gateway/request_flow.test.ts
@@ -41,7 +41,7 @@
 
   test('for a plain service does not wait behind those that want a place at an engine', async () => {
     const {fixture} = await start([answer('at once')]);
-    fixture.forecast.join('p m', {});
+    fixture.forecast.joinQueue('p m', {});
     expect((await fixture.ask({model: 'm'})).body).toBe('at once');
   });
 
--- a/test/gateway/return_times.test.ts
+++ b/test/gateway/return_times.test.ts
@@ -5,7 +5,7 @@
  */
 import {expect, test} from 'vitest';
 import {computeRetryAfterMs} from '../../src/gateway/compute_retry_after_ms';
-import {PlaceForecast} from '../../src/gateway/place_forecast';
+import {SlotForecast} from '../../src/gateway/slot_forecast';
 
 const LEFT_MS = 6_000;
 const HONOURED_PART = 1 / 3;
@@ -15,10 +15,10 @@
 /** A place falls free and a request comes, each in its own rhythm, for a second. */
 function create(endEveryMs: number, arrivalEveryMs: number) {
   const clock = {time: 0, now: () => clock.time};
-  const forecast = PlaceForecast.create(clock);
+  const forecast = SlotForecast.create(clock);
   for (clock.time = 1; clock.time <= 1_000; clock.time += 1) {
     if (clock.time % endEveryMs === 0) {
-      forecast.recordEnd(LINE);
+      forecast.recordSlotFreed(LINE);
     }
     if (clock.time % arrivalEveryMs === 0) {
       forecast.recordArrival(LINE);
@@ -27,10 +27,10 @@
   const refuse = (place: {line?: string} = {line: LINE}) =>
     computeRetryAfterMs({
       forecast,
-      line: place.line,
+      queue: place.line,
       leftMs: LEFT_MS,
-      honouredPart: HONOURED_PART,
-      openingMs: Infinity,
+      maxRetryAfterFraction: HONOURED_PART,
+      availableInMs: Infinity,
     });
   return {forecast, refuse};
 }
@@ -48,8 +48,8 @@
 
 test('those who wait in line come first', () => {
   const {forecast, refuse} = create(100, 200);
-  const alone = forecast.computeReturnMs(LINE);
-  forecast.join(LINE, {});
+  const alone = forecast.estimateRetryMs(LINE);
+  forecast.joinQueue(LINE, {});
 
   expect(refuse()).toBeCloseTo(2 * alone);
 });
--- a/test/gateway/stream_flow.test.ts
+++ b/test/gateway/stream_flow.test.ts
@@ -42,7 +42,7 @@
 
     expect(received.body).toBe(events(1, 2));
     await waitUntil('closed', () => backends[0].openConnections === 0);
-    expect(fixture.board.listNews().stalled).toEqual(['i0']);
+    expect(fixture.board.describeHealth().stalled).toEqual(['i0']);
   });
 
   test('goes on at the same backend server once that is the head of a new group', async () => {
@@ -125,8 +125,8 @@
     );
     await fixture.ask();
     for (let count = 0; count < 200; count += 1) {
-      fixture.forecast.recordWork('r p', 4_990);
-      fixture.forecast.join('p m', {});
+      fixture.forecast.recordFirstEventMs('r p', 4_990);
+      fixture.forecast.joinQueue('p m', {});
     }
     // 10 ms are left, and 200 others wait for a place before it.
     fixture.board.setRunningElsewhere({i0: 4});
@@ -148,7 +148,7 @@
     );
     await fixture.ask();
     for (let count = 0; count < 100; count += 1) {
-      fixture.forecast.recordWork('r p', 9_000);
+      fixture.forecast.recordFirstEventMs('r p', 9_000);
     }
     fixture.board.setRunningElsewhere({i0: 4});
     const first = fixture.ask();
@@ -190,13 +190,13 @@
     );
     await fixture.ask();
     const earlier = {};
-    fixture.forecast.join('p m', earlier);
+    fixture.forecast.joinQueue('p m', earlier);
     const asked = fixture.ask();
     await waitUntil(
       'its place in the line',
       () => fixture.forecast.countAhead('p m', {}) === 2,
     );
-    fixture.forecast.leave('p m', earlier);
+    fixture.forecast.leaveQueue('p m', earlier);
 
     expect((await asked).body).toBe(events(1));
   });
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -8,11 +8,11 @@
 import {CallerAnswer} from '../../src/gateway/caller_answer';
 import {Containment} from '../../src/gateway/containment';
 import {FlowResult} from '../../src/gateway/flow_result';
-import {PlaceForecast} from '../../src/gateway/place_forecast';
+import {SlotForecast} from '../../src/gateway/slot_forecast';
 import {RepeatBudget} from '../../src/gateway/repeat_budget';
 import {RequestFlow} from '../../src/gateway/request_flow';
 import {RequestIdentity} from '../../src/gateway/request_identity';
-import {TargetBoard} from '../../src/gateway/target_board';
+import {LoadBalancer} from '../../src/gateway/load_balancer';
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {PermitVerdict} from '../../src/protocol/permit_verdict';
@@ -53,7 +53,7 @@
   readonly results: FlowResult[] = [];
   /** What the board was told at first. */
   targets: Array<[string, GatewayTarget]> = [];
-  readonly forecast = PlaceForecast.create(systemClock);
+  readonly forecast = SlotForecast.create(systemClock);
   readonly events = EventRing.create();
   /** What the leader answers a question for a permit; at first nobody leads. */
   answerPermit: () => Promise<PermitVerdict> = () =>
@@ -67,12 +67,12 @@
     askPermit: () => this.answerPermit(),
     onNews: () => undefined,
   });
-  readonly board = TargetBoard.create(
+  readonly board = LoadBalancer.create(
     'z',
     systemClock,
     () => 0,
     () => undefined,
-    this.signals.openness,
+    this.signals.availability,
   );
   private readonly containment = Containment.create({
     witness: BreakWitness.create({clock: systemClock, events: this.events}),
--- a/test/support/gateway_crowd.ts
+++ b/test/support/gateway_crowd.ts
@@ -3,7 +3,7 @@
  * by what control tells it of the others, late. Everything runs on a virtual clock.
  */
 import {Clock} from '../../src/common/clock';
-import {TargetBoard} from '../../src/gateway/target_board';
+import {LoadBalancer} from '../../src/gateway/load_balancer';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {EnginePasses, PassProfile} from './engine_passes';
 
@@ -68,7 +68,7 @@
   private readonly clock = new VirtualClock();
   private readonly agenda: Happening[] = [];
   private readonly engines = new Map<string, EnginePasses>();
-  private readonly boards: TargetBoard[];
+  private readonly boards: LoadBalancer[];
   private readonly told: Array<Readonly<Record<string, number>>>;
   private readonly targets = new Map<string, GatewayTarget>();
   private readonly counts = {
@@ -83,7 +83,7 @@
   constructor(private readonly options: CrowdOptions) {
     const {gateways, heads, zones, random} = options;
     this.boards = Array.from({length: gateways}, (_, at) =>
-      TargetBoard.create(`zone-${at % zones}`, this.clock, random),
+      LoadBalancer.create(`zone-${at % zones}`, this.clock, random),
     );
     this.told = this.boards.map(() => ({}));
     for (let at = 0; at < heads; at += 1) {
@@ -169,7 +169,7 @@
   private exchange(at: number): void {
     const board = this.boards[at];
     const sums: Record<string, number> = {};
-    this.told[at] = board.listNews().running;
+    this.told[at] = board.describeHealth().running;
     this.told.forEach((running, other) => {
       for (const [incarnation, count] of Object.entries(running)) {
         if (other !== at) {
@@ -208,22 +208,22 @@
     const {incarnation} = target;
     this.counts.streams += 1;
     this.counts.near += target.zone === `zone-${at % zones}` ? 1 : 0;
-    board.recordStart(incarnation, promptTokens);
+    board.recordRequestStart(incarnation, promptTokens);
     this.engines.get(incarnation)?.add(sentAt, {
       unreadTokens: promptTokens,
       eventsLeft: this.drawSize(events),
       onEvent: (now, pause) => {
-        board.recordHeard(incarnation);
+        board.recordActivity(incarnation);
         if (isFirst) {
           isFirst = false;
-          board.recordFirst(incarnation, promptTokens);
+          board.recordResponseStart(incarnation, promptTokens);
           isLate = now - sentAt > objectiveMs;
           this.counts.lateStart += isLate ? 1 : 0;
         }
         isLate ||= pause > pauseMs;
       },
       onEnd: () => {
-        board.recordEnd(incarnation);
+        board.recordRequestEnd(incarnation);
         this.counts.late += isLate ? 1 : 0;
       },
     });
