--- a/bench/run_identity.ts
+++ b/bench/run_identity.ts
@@ -42,11 +42,12 @@
 const empty = createList(0);
 const full = createList(64);
 const cases: Readonly<Record<string, () => unknown>> = {
-  'nothing is held against anybody': () => empty.find(createIdentity('other')),
+  'nothing is held against anybody': () =>
+    empty.findStatus(createIdentity('other')),
   'something is held against another caller': () =>
-    full.find(createIdentity('other')),
+    full.findStatus(createIdentity('other')),
   'something is held against this caller': () =>
-    full.find(createIdentity('held')),
+    full.findStatus(createIdentity('held')),
 };
 for (const [name, act] of Object.entries(cases)) {
   measure(act);
--- a/src/gateway/backend_rests.ts
+++ b/src/gateway/backend_backoffs.ts
@@ -30,7 +30,7 @@
 }
 
 /** One for all requests of a gateway. */
-export class BackendRests {
+export class BackendBackoffs {
   private readonly rests = new Map<string, Rest>();
 
   private constructor(private readonly options: BackendRestsOptions) {}
@@ -41,8 +41,8 @@
    * @example
    * const rests = BackendRests.create({clock, events, random: Math.random});
    */
-  static create(options: BackendRestsOptions): BackendRests {
-    return new BackendRests(options);
+  static create(options: BackendRestsOptions): BackendBackoffs {
+    return new BackendBackoffs(options);
   }
 
   /** Takes a refusal that asks for rest. */
@@ -50,17 +50,17 @@
     const {clock, events, random} = this.options;
     const now = clock.now();
     const known = this.rests.get(incarnation);
-    const isResting = known !== undefined && now < known.until;
+    const isBackingOff = known !== undefined && now < known.until;
     const boundedMs = Math.min(restMs, LONGEST_REST_MS);
     const spreadMs = Math.min(boundedMs * SPREAD_PART, LONGEST_SPREAD_MS);
     const until = now + boundedMs + spreadMs * random();
     this.rests.set(incarnation, {
-      askedAt: isResting ? known.askedAt : now,
+      askedAt: isBackingOff ? known.askedAt : now,
       until: Math.max(until, known?.until ?? -Infinity),
       allowed: 1,
       unanswered: known?.unanswered ?? 0,
     });
-    if (!isResting) {
+    if (!isBackingOff) {
       events.record({
         type: 'rest-asked',
         subject: 'host',
@@ -77,7 +77,7 @@
   }
 
   /** False while it rests, or is still being tried after that. */
-  isOpen(incarnation: string): boolean {
+  isAvailable(incarnation: string): boolean {
     const rest = this.rests.get(incarnation);
     const hasRested = !this.isResting(incarnation);
     return !rest || (hasRested && rest.unanswered < rest.allowed);
@@ -88,7 +88,7 @@
    *
    * @returns to be told once whether the backend server took it; undefined where nothing is held against it
    */
-  begin(incarnation: string): ((isTaken: boolean) => void) | undefined {
+  beginRequest(incarnation: string): ((isTaken: boolean) => void) | undefined {
     const rest = this.rests.get(incarnation);
     if (!rest) {
       return undefined;
@@ -104,9 +104,9 @@
   }
 
   /** Until it may be sent to again, in milliseconds; undefined where nothing is held against it. */
-  findOpeningMs(incarnation: string): number | undefined {
+  findAvailableInMs(incarnation: string): number | undefined {
     const rest = this.rests.get(incarnation);
-    if (!rest || this.isOpen(incarnation)) {
+    if (!rest || this.isAvailable(incarnation)) {
       return undefined;
     }
     const leftMs = rest.until - this.options.clock.now();
--- a/src/gateway/backend_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -30,7 +30,7 @@
 const ALWAYS: SendPermit = {hasExpired: () => false};
 
 /** One for all requests of a gateway. */
-export class BackendLimits {
+export class BackendRateLimits {
   private readonly limits = NamedLimits.create();
   private readonly pacings = new Map<string, PermitPacing>();
   /** The last word on each backend server that a leader has, with that leader's name. */
@@ -51,8 +51,8 @@
    * @example
    * const limits = BackendLimits.create({clock, leaseClock, events, askPermit, onNews});
    */
-  static create(options: BackendLimitsOptions): BackendLimits {
-    return new BackendLimits(options);
+  static create(options: BackendLimitsOptions): BackendRateLimits {
+    return new BackendRateLimits(options);
   }
 
   /** Takes the limit that an answer names, or that it names none. */
@@ -81,14 +81,14 @@
   }
 
   /** False while it is of no use to ask for a permit. */
-  isOpen(incarnation: string): boolean {
+  isAvailable(incarnation: string): boolean {
     const now = this.options.clock.now();
     const canAsk = this.pacings.get(incarnation)?.canAsk(now) ?? true;
     return !this.isLimited(incarnation) || (canAsk && now >= this.silentUntil);
   }
 
   /** Asks for the right to send one request at once; undefined where it is denied. */
-  async askPermit(incarnation: string): Promise<SendPermit | undefined> {
+  async acquirePermit(incarnation: string): Promise<SendPermit | undefined> {
     const {clock, leaseClock, askPermit} = this.options;
     const [limit] = this.limits.describe([incarnation], clock.now());
     if (!limit || limit.perSecond === null) {
@@ -120,7 +120,7 @@
    *
    * @returns milliseconds; Infinity where none of them has a limit
    */
-  takeReturnMs(incarnations: readonly string[]): number {
+  reserveRetryMs(incarnations: readonly string[]): number {
     const now = this.options.clock.now();
     const pacings = incarnations
       .filter(incarnation => this.isLimited(incarnation))
--- a/src/gateway/backend_departures.ts
+++ b/src/gateway/backend_shutdowns.ts
@@ -18,7 +18,7 @@
 }
 
 /** One for all requests of a gateway. */
-export class BackendDepartures {
+export class BackendShutdowns {
   private readonly leaving = new Set<string>();
   private readonly untold = new Set<string>();
   private isReporting = false;
@@ -32,8 +32,8 @@
    * @example
    * const departures = BackendDepartures.create({events, reportLeaving});
    */
-  static create(options: BackendDeparturesOptions): BackendDepartures {
-    return new BackendDepartures(options);
+  static create(options: BackendDeparturesOptions): BackendShutdowns {
+    return new BackendShutdowns(options);
   }
 
   /** Takes an answer that says so. */
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -1,9 +1,9 @@
 /** What backend servers say of themselves in their answers, beside the answer. */
 import {ThrottledLines} from '../common/throttled_lines';
 import {AnswerHead} from './answer_head';
-import {BackendDepartures} from './backend_departures';
-import {BackendLimits} from './backend_limits';
-import {BackendRests} from './backend_rests';
+import {BackendShutdowns} from './backend_shutdowns';
+import {BackendRateLimits} from './backend_rate_limits';
+import {BackendBackoffs} from './backend_backoffs';
 
 /** A head of an answer, and where it came from. */
 interface HeardHead {
@@ -16,24 +16,24 @@
   readonly sentAt: number;
 }
 
-type BackendSignalsOptions = Parameters<typeof BackendLimits.create>[0] &
-  Parameters<typeof BackendRests.create>[0] &
-  Parameters<typeof BackendDepartures.create>[0];
+type BackendSignalsOptions = Parameters<typeof BackendRateLimits.create>[0] &
+  Parameters<typeof BackendBackoffs.create>[0] &
+  Parameters<typeof BackendShutdowns.create>[0];
 
 /** Names in one reason of a refusal. */
 const MAX_NAMED = 3;
 
 /** One for all requests of a gateway. */
 export class BackendSignals {
-  readonly limits: BackendLimits;
-  private readonly rests: BackendRests;
-  private readonly departures: BackendDepartures;
+  readonly limits: BackendRateLimits;
+  private readonly rests: BackendBackoffs;
+  private readonly departures: BackendShutdowns;
   private readonly lines: ThrottledLines;
 
   private constructor(options: BackendSignalsOptions) {
-    this.limits = BackendLimits.create(options);
-    this.rests = BackendRests.create(options);
-    this.departures = BackendDepartures.create(options);
+    this.limits = BackendRateLimits.create(options);
+    this.rests = BackendBackoffs.create(options);
+    this.departures = BackendShutdowns.create(options);
     this.lines = ThrottledLines.create(options.events, options.clock);
   }
 
@@ -69,8 +69,8 @@
   readonly availability = {
     isAvailable: (incarnation: string) =>
       !this.departures.has(incarnation) &&
-      this.limits.isOpen(incarnation) &&
-      this.rests.isOpen(incarnation),
+      this.limits.isAvailable(incarnation) &&
+      this.rests.isAvailable(incarnation),
     isLimited: (incarnation: string) => this.limits.isLimited(incarnation),
   };
 
@@ -86,7 +86,7 @@
    * @returns to be told once whether the backend server took it
    */
   beginRequest(incarnation: string): ((isTaken: boolean) => void) | undefined {
-    return this.rests.begin(incarnation);
+    return this.rests.beginRequest(incarnation);
   }
 
   /**
@@ -97,9 +97,9 @@
    */
   reserveRetry(incarnations: readonly string[]) {
     const rests = incarnations.flatMap(
-      incarnation => this.rests.findOpeningMs(incarnation) ?? [],
+      incarnation => this.rests.findAvailableInMs(incarnation) ?? [],
     );
-    const limitedMs = this.limits.takeReturnMs(incarnations);
+    const limitedMs = this.limits.reserveRetryMs(incarnations);
     return {
       inMs: Math.min(limitedMs, ...rests),
       isOnlyOption:
@@ -108,7 +108,7 @@
           incarnation =>
             this.departures.has(incarnation) ||
             this.limits.isLimited(incarnation) ||
-            !this.rests.isOpen(incarnation),
+            !this.rests.isAvailable(incarnation),
         ),
     };
   }
@@ -130,7 +130,7 @@
       this.limits.isLimited(incarnation),
     );
     const resting = incarnations.filter(
-      incarnation => !this.rests.isOpen(incarnation),
+      incarnation => !this.rests.isAvailable(incarnation),
     );
     const leaving = incarnations.filter(incarnation =>
       this.departures.has(incarnation),
--- a/src/gateway/containment.ts
+++ b/src/gateway/crash_containment.ts
@@ -2,8 +2,8 @@
 import {CrashReport} from '../protocol/crash_report';
 import {SuspectNews} from '../protocol/suspect_news';
 import {TrialVerdict} from '../protocol/trial_verdict';
-import {BreakWitness} from './break_witness';
-import {BrokenRun} from './broken_run';
+import {CrashDetector} from './crash_detector';
+import {InterruptedAttempt} from './interrupted_attempt';
 import {RequestIdentity} from './request_identity';
 import {SuspectList} from './suspect_list';
 import {SuspectReporter} from './suspect_reporter';
@@ -23,14 +23,14 @@
 
 /** What containment works with. */
 interface ContainmentOptions {
-  readonly witness: BreakWitness;
+  readonly detector: CrashDetector;
   readonly calls: SuspectCalls;
   /** Told of a backend server that has ended. */
   readonly onEnded: (incarnation: string) => void;
 }
 
 /** One for all requests of a gateway. */
-export class Containment {
+export class CrashContainment {
   private readonly list = SuspectList.create();
   private readonly reporter: SuspectReporter;
 
@@ -44,8 +44,8 @@
    * @example
    * const containment = Containment.create({witness, calls, onEnded});
    */
-  static create(options: ContainmentOptions): Containment {
-    return new Containment(options);
+  static create(options: ContainmentOptions): CrashContainment {
+    return new CrashContainment(options);
   }
 
   /** The newest list of control that is held here. */
@@ -59,29 +59,29 @@
   }
 
   /** Whether a request may be sent freely, on trial only, or never. */
-  find(identity: RequestIdentity): ReturnType<SuspectList['find']> {
-    return this.list.find(identity);
+  findStatus(identity: RequestIdentity): ReturnType<SuspectList['findStatus']> {
+    return this.list.findStatus(identity);
   }
 
   /**
    * Takes note of a run whose connection broke. Until it is known that its backend
    * server lives, a request that had not begun may be what ended it.
    */
-  async recordBreak(run: BrokenRun): Promise<void> {
-    const fate = await this.options.witness.findFate(run);
+  async recordConnectionLoss(run: InterruptedAttempt): Promise<void> {
+    const fate = await this.options.detector.detectState(run);
     if (fate !== 'ended') {
       return;
     }
     this.options.onEnded(run.target.incarnation);
     this.reporter.recordCrash(run);
-    if (!run.hasBegun) {
+    if (!run.hasResponseStarted) {
       this.list.add(run.name);
     }
   }
 
   /** Asks for the right to send a suspect to one backend server; nobody answers for control while it is away. */
   async askTrial(name: string, incarnation: string): Promise<TrialVerdict> {
-    if (this.reporter.isWaiting(name)) {
+    if (this.reporter.isPending(name)) {
       return 'busy';
     }
     const verdict = await this.options.calls
@@ -96,14 +96,14 @@
   }
 
   /** A trial is over: its backend server has begun to answer, or never got it. */
-  release(name: string): void {
-    this.reporter.release(name);
+  releaseTrial(name: string): void {
+    this.reporter.reportReleased(name);
   }
 
   /** A request that was there when a backend server ended has run to its end. */
-  clear(name: string): void {
+  clearSuspect(name: string): void {
     this.list.remove(name);
-    this.reporter.clear(name);
+    this.reporter.reportCleared(name);
   }
 
   /** Tells control nothing any more. */
--- a/src/gateway/break_witness.ts
+++ b/src/gateway/crash_detector.ts
@@ -3,7 +3,7 @@
 import {EventRing} from '../common/event_ring';
 import {parseAddress} from '../protocol/parse_address';
 import {probeListening} from '../transport/probe_listening';
-import {BrokenRun} from './broken_run';
+import {InterruptedAttempt} from './interrupted_attempt';
 
 /** A refusal comes within a round trip; silence says nothing, however long. */
 const PROBE_MS = 300;
@@ -17,7 +17,7 @@
 
 interface Case {
   readonly since: number;
-  readonly runs: BrokenRun[];
+  readonly runs: InterruptedAttempt[];
   readonly fate: Promise<Fate>;
 }
 
@@ -41,7 +41,7 @@
 }
 
 /** Asks once for each break, however many requests it hit. */
-export class BreakWitness {
+export class CrashDetector {
   private readonly cases = new Map<string, Case>();
 
   private constructor(private readonly options: BreakWitnessOptions) {}
@@ -53,12 +53,12 @@
    * const witness = BreakWitness.create({clock, events});
    * const fate = await witness.findFate({target, name: identity.name, hasBegun: false});
    */
-  static create(options: BreakWitnessOptions): BreakWitness {
-    return new BreakWitness(options);
+  static create(options: BreakWitnessOptions): CrashDetector {
+    return new CrashDetector(options);
   }
 
   /** What became of the backend server of a run whose connection broke. */
-  findFate(run: BrokenRun): Promise<Fate> {
+  detectState(run: InterruptedAttempt): Promise<Fate> {
     const {incarnation} = run.target;
     const now = this.options.clock.now();
     const known = this.cases.get(incarnation);
@@ -74,7 +74,7 @@
     return fate;
   }
 
-  private async probe({target}: BrokenRun): Promise<Fate> {
+  private async probe({target}: InterruptedAttempt): Promise<Fate> {
     const {probe = probeListening} = this.options;
     return FATES[await probe(parseAddress(target.address), PROBE_MS)];
   }
@@ -88,11 +88,11 @@
   }
 
   private record(
-    {incarnation, address}: BrokenRun['target'],
+    {incarnation, address}: InterruptedAttempt['target'],
     fate: Fate,
-    runs: readonly BrokenRun[],
+    runs: readonly InterruptedAttempt[],
   ): void {
-    const notBegun = runs.filter(({hasBegun}) => !hasBegun);
+    const notBegun = runs.filter(({hasResponseStarted: hasBegun}) => !hasBegun);
     const names = notBegun.slice(0, MAX_NAMED).map(({name}) => name);
     this.options.events.record({
       type: 'backend-broke',
--- a/src/gateway/create_flow_parts.ts
+++ b/src/gateway/create_flow_parts.ts
@@ -2,7 +2,7 @@
 import {createWorkNames} from './create_work_names';
 import {FlowCourse} from './flow_course';
 import {SlotWait} from './slot_wait';
-import {RepeatPolicy} from './repeat_policy';
+import {RetryPolicy} from './retry_policy';
 import {RequestFlowOptions} from './request_flow_options';
 import {StallDetector} from './stall_detector';
 
@@ -25,7 +25,7 @@
     deadlineAt,
     names,
     course: FlowCourse.create(arrivedAt),
-    policy: RepeatPolicy.create({route, budget, clock, deadlineAt}),
+    policy: RetryPolicy.create({route, budget, clock, deadlineAt}),
     stall: StallDetector.create(board, createStallThresholds(judged)),
     wait: SlotWait.create({
       forecast,
--- a/src/gateway/create_suspect_calls.ts
+++ b/src/gateway/create_suspect_calls.ts
@@ -1,5 +1,5 @@
 import {ControlClient} from '../protocol/control_client';
-import {Containment} from './containment';
+import {CrashContainment} from './crash_containment';
 
 /** Several rounds of the agreement; a leader that does not answer in that time is searched for anew. */
 const REPORT_MS = 1_500;
@@ -15,7 +15,7 @@
 export function createSuspectCalls(
   gatewayId: string,
   client: Pick<ControlClient, 'ask'>,
-): Parameters<typeof Containment.create>[0]['calls'] {
+): Parameters<typeof CrashContainment.create>[0]['calls'] {
   return {
     report: report =>
       client.ask<'ends-ask'>(
--- a/src/gateway/flow_sender.ts
+++ b/src/gateway/flow_sender.ts
@@ -86,7 +86,7 @@
   private async sendByPermit(target: GatewayTarget): Promise<void> {
     const {flow, maySend, onDenied} = this.options;
     this.isAsking = true;
-    const permit = await flow.signals.limits.askPermit(target.incarnation);
+    const permit = await flow.signals.limits.acquirePermit(target.incarnation);
     this.isAsking = false;
     if (permit && flow.board.has(target.incarnation) && maySend()) {
       this.begin(target, permit);
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -13,9 +13,9 @@
 import {HttpOrigins} from '../transport/http_origins';
 import {readHttpBody} from '../transport/read_http_body';
 import {BackendSignals} from './backend_signals';
-import {BreakWitness} from './break_witness';
+import {CrashDetector} from './crash_detector';
 import {CallerAnswer} from './caller_answer';
-import {Containment} from './containment';
+import {CrashContainment} from './crash_containment';
 import {createBackendSignals} from './create_backend_signals';
 import {createSuspectCalls} from './create_suspect_calls';
 import {decideAdmission} from './decide_admission';
@@ -26,8 +26,8 @@
 import {GatewaySettings} from './gateway_settings';
 import {GatewayStop} from './gateway_stop';
 import {SlotForecast} from './slot_forecast';
-import {PressedModels} from './pressed_models';
-import {RepeatBudget} from './repeat_budget';
+import {SaturatedModels} from './saturated_models';
+import {RetryBudget} from './retry_budget';
 import {RequestFlow} from './request_flow';
 import {RequestIdentity} from './request_identity';
 import {RulesFeed} from './rules_feed';
@@ -53,11 +53,11 @@
   private readonly board: LoadBalancer;
   private readonly feed: RulesFeed;
   private readonly log: GatewayLog;
-  private readonly budgets = new Map<string, RepeatBudget>();
+  private readonly budgets = new Map<string, RetryBudget>();
   private readonly flows = new Set<RequestFlow>();
   private readonly forecast = SlotForecast.create(systemClock);
   private readonly demand = DemandMeter.create(systemClock);
-  private readonly containment: Containment;
+  private readonly containment: CrashContainment;
   private readonly checkTimer: NodeJS.Timeout;
   /** When requests were last looked at, or should have been. */
   private checkedAt: number;
@@ -68,7 +68,7 @@
   private openRequests = 0;
   /** Answers of requests that were admitted, until their last byte has left. */
   private readonly takenAnswers = new Set<CallerAnswer>();
-  private readonly pressed = PressedModels.create(systemClock);
+  private readonly pressed = SaturatedModels.create(systemClock);
   private readonly signals: BackendSignals;
   /** Connections on which a request came before. */
   private readonly knownConnections = new WeakSet<Socket>();
@@ -106,8 +106,8 @@
       tellNow,
       this.signals.availability,
     );
-    this.containment = Containment.create({
-      witness: BreakWitness.create({clock, events}),
+    this.containment = CrashContainment.create({
+      detector: CrashDetector.create({clock, events}),
       calls: createSuspectCalls(gatewayId, client),
       onEnded: ended => this.board.recordProcessEnded(ended),
     });
@@ -342,11 +342,11 @@
     return Math.min(waitMs, timeoutMs) - (this.clock.now() - arrivedAt);
   }
 
-  private findBudget(pool: string): RepeatBudget {
+  private findBudget(pool: string): RetryBudget {
     const known = this.budgets.get(pool);
     const budget =
       known ??
-      RepeatBudget.create(
+      RetryBudget.create(
         this.settings.retries,
         this.clock,
         () => this.feed.gateways,
--- a/src/gateway/load_balancer.ts
+++ b/src/gateway/load_balancer.ts
@@ -3,7 +3,7 @@
 import {GatewayTarget} from '../protocol/gateway_target';
 import {chooseByWaterFilling} from './choose_by_water_filling';
 import {createTargetKey} from './create_target_key';
-import {UnseenWork} from './unseen_work';
+import {UnreportedLoad} from './unreported_load';
 
 /** How long a backend server that did not take a connection is passed over. */
 const UNREACHABLE_MS = 1_000;
@@ -60,7 +60,7 @@
   /** How long the last repair took, from the loss of a group to the next new one, by model. */
   private readonly repairMs = new Map<string, number>();
 
-  private readonly unseen: UnseenWork;
+  private readonly unseen: UnreportedLoad;
 
   private constructor(
     private readonly zone: string,
@@ -69,7 +69,7 @@
     private readonly onStalled: () => void,
     private readonly openness: Openness,
   ) {
-    this.unseen = UnseenWork.create(clock);
+    this.unseen = UnreportedLoad.create(clock);
   }
 
   /**
@@ -154,7 +154,7 @@
     running: Readonly<Record<string, number>>,
     others = 0,
   ): void {
-    this.unseen.recordTold(others);
+    this.unseen.recordReport(others);
     for (const [incarnation, standing] of this.standings) {
       standing.runningElsewhere = running[incarnation] ?? 0;
     }
@@ -178,7 +178,7 @@
         (want.mayQueue || hasPlace(standing)),
     );
     const loads = fit.map(standing => this.computeWork(standing));
-    const unseen = this.unseen.compute(createLine(want));
+    const unseen = this.unseen.estimate(createLine(want));
     return fit[chooseByWaterFilling(loads, unseen, this.random())]?.target;
   }
 
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/request_flow.ts
@@ -9,7 +9,7 @@
 import {FlowResult} from './flow_result';
 import {FlowSender} from './flow_sender';
 import {SlotWait} from './slot_wait';
-import {RepeatPolicy} from './repeat_policy';
+import {RetryPolicy} from './retry_policy';
 import {RequestFlowOptions} from './request_flow_options';
 import {sendFinalAnswer} from './send_final_answer';
 import {StallDetector} from './stall_detector';
@@ -24,7 +24,7 @@
   private readonly sender: FlowSender;
   private readonly relay: AnswerRelay;
   private readonly course: FlowCourse;
-  private readonly policy: RepeatPolicy;
+  private readonly policy: RetryPolicy;
   private readonly trial: SuspectTrial;
   private readonly deadlineAt: number;
   private readonly timer: NodeJS.Timeout;
@@ -95,14 +95,14 @@
     const {containment, identity} = this.options;
     const {attempt} = this.sender;
     const hasBegun = attempt?.hasStarted ?? false;
-    const standing = hasBegun ? 'free' : containment.find(identity);
+    const standing = hasBegun ? 'free' : containment.findStatus(identity);
     if (standing === 'convicted') {
       this.abandon(CONVICTED, FINAL_STATUS.cannotBeRun);
-    } else if (this.trial.isUnderWay) {
+    } else if (this.trial.isWaiting) {
       this.checkTrial(now);
     } else if (this.wait.isWaiting && standing === 'suspected') {
       this.wait.end();
-      this.trial.begin(now);
+      this.trial.beginWaiting(now);
     } else if (this.wait.isWaiting) {
       this.checkWaiting(now);
     } else if (attempt?.isLeftBehind) {
@@ -158,27 +158,27 @@
   private checkStall(now: number): void {
     const {policy, sender} = this;
     const {attempt} = sender;
-    if (!attempt || !policy.canGoElsewhere) {
+    if (!attempt || !policy.canFailOver) {
       return;
     }
     const reason = this.stall.findFailoverReason(attempt, now);
     // Without a repeat left it is better to wait on than to break off.
-    if (reason && policy.hasRepeat && sender.findTarget(true, true)) {
+    if (reason && policy.hasRetry && sender.findTarget(true, true)) {
       attempt.stop(reason);
     }
   }
 
   /** What an engine has begun may go on once a group of the model is formed anew. */
   private get canAwaitRepair(): boolean {
-    return this.options.pool.engine !== undefined && this.policy.hasRun;
+    return this.options.pool.engine !== undefined && this.policy.mayHaveRun;
   }
 
   /** Sends to the best target; the first time also waits a little for a place. */
   private sendOn(whyNot: string): void {
     const {wait, sender} = this;
     const {containment, identity, clock} = this.options;
-    if (containment.find(identity) !== 'free') {
-      this.trial.begin(clock.now());
+    if (containment.findStatus(identity) !== 'free') {
+      this.trial.beginWaiting(clock.now());
       return this.check(clock.now());
     }
     // What has begun elsewhere is worth more than what has not begun at all.
@@ -200,12 +200,13 @@
   /** Nothing was held against it while it waited for a permit, and its caller is there. */
   private get maySend(): boolean {
     const {containment, identity} = this.options;
-    const isFree = this.trial.hasPlace || containment.find(identity) === 'free';
+    const isFree =
+      this.trial.hasGrant || containment.findStatus(identity) === 'free';
     return !this.isDone && isFree;
   }
 
   private handleDenied(): void {
-    if (this.isDone || this.wait.isWaiting || this.trial.isUnderWay) {
+    if (this.isDone || this.wait.isWaiting || this.trial.isWaiting) {
       return;
     }
     this.trial.end();
@@ -220,7 +221,7 @@
   }
 
   private handleData(chunk: Buffer): void {
-    this.trial.recordBegun();
+    this.trial.recordResponseStart();
     const wrong = this.isDone ? undefined : this.relay.acceptData(chunk);
     if (wrong) {
       this.sender.attempt?.stop(wrong);
@@ -255,15 +256,15 @@
     const {policy} = this;
     if (end.kind === 'not-run') {
       policy.recordRefusal();
-      this.repeat(end.reason, policy.canBeRefusedAgain);
+      this.repeat(end.reason, policy.canRetryAfterRefusal);
       return;
     }
     policy.recordRun();
     if (end.kind === 'broken') {
-      this.repeat(end.reason, policy.canRunAgain);
+      this.repeat(end.reason, policy.canRetry);
       return;
     }
-    this.finishWhole(policy.canRunAgain);
+    this.finishWhole(policy.canRetry);
   }
 
   /**
@@ -277,8 +278,12 @@
     const {containment, identity, clock} = this.options;
     const {name} = identity;
     this.course.recordBroken(name);
-    this.trial.recordBreak(clock.now());
-    const judged = containment.recordBreak({target, name, hasBegun});
+    this.trial.recordConnectionLoss(clock.now());
+    const judged = containment.recordConnectionLoss({
+      target,
+      name,
+      hasResponseStarted: hasBegun,
+    });
     if (!hasBegun) {
       this.isInDoubt = true;
       await judged;
@@ -302,13 +307,13 @@
         return;
       }
       relay.endStream(head);
-      this.trial.recordWhole();
+      this.trial.recordCompletion();
       this.finish(head.status);
       return;
     }
     const isFailure = head.status >= 500;
-    this.trial.recordWhole();
-    if (isFailure && mayRepeat && this.policy.takeRepeat()) {
+    this.trial.recordCompletion();
+    if (isFailure && mayRepeat && this.policy.takeRetry()) {
       this.sendOn('no other backend server');
       return;
     }
@@ -317,7 +322,7 @@
   }
 
   private repeat(reason: string, isAllowed: boolean): void {
-    if (isAllowed && this.policy.takeRepeat()) {
+    if (isAllowed && this.policy.takeRetry()) {
       this.sendOn(reason);
     } else {
       this.giveUp(reason);
@@ -334,7 +339,7 @@
   private get unansweredStatus(): number {
     const {attempt} = this.sender;
     const isSent = attempt !== undefined && !attempt.isWaiting;
-    const mayHaveRun = this.policy.hasRun || isSent || this.isInDoubt;
+    const mayHaveRun = this.policy.mayHaveRun || isSent || this.isInDoubt;
     return mayHaveRun ? FINAL_STATUS.failed : FINAL_STATUS.notRun;
   }
 
--- a/src/gateway/request_flow_options.ts
+++ b/src/gateway/request_flow_options.ts
@@ -5,11 +5,11 @@
 import {BackendSignals} from './backend_signals';
 import {CallerAnswer} from './caller_answer';
 import {CallerDialect} from './caller_dialect';
-import {Containment} from './containment';
+import {CrashContainment} from './crash_containment';
 import {FlowResult} from './flow_result';
 import {GatewayRequest} from './gateway_request';
 import {SlotForecast} from './slot_forecast';
-import {RepeatBudget} from './repeat_budget';
+import {RetryBudget} from './retry_budget';
 import {RequestIdentity} from './request_identity';
 import {LoadBalancer} from './load_balancer';
 
@@ -28,9 +28,9 @@
   readonly answer: CallerAnswer;
   readonly origins: HttpOrigins;
   readonly board: LoadBalancer;
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly forecast: SlotForecast;
-  readonly containment: Containment;
+  readonly containment: CrashContainment;
   readonly signals: BackendSignals;
   readonly dialect: CallerDialect;
   readonly clock: Clock;
--- a/src/gateway/repeat_budget.ts
+++ b/src/gateway/retry_budget.ts
@@ -12,7 +12,7 @@
 }
 
 /** Counts requests and repeats of one pool in a sliding window. */
-export class RepeatBudget {
+export class RetryBudget {
   private readonly buckets = new Map<number, Bucket>();
 
   private constructor(
@@ -31,8 +31,8 @@
     limits: GatewaySettings['retries'],
     clock: Clock,
     countGateways: () => number,
-  ): RepeatBudget {
-    return new RepeatBudget(limits, clock, countGateways);
+  ): RetryBudget {
+    return new RetryBudget(limits, clock, countGateways);
   }
 
   /** Notes the first sending of a request. */
@@ -41,14 +41,14 @@
   }
 
   /** Takes one repeat; false when none is left. */
-  takeRepeat(): boolean {
-    const isLeft = this.hasRepeat();
+  takeRetry(): boolean {
+    const isLeft = this.hasRetry();
     this.findBucket().repeats += isLeft ? 1 : 0;
     return isLeft;
   }
 
   /** True while one is left. */
-  hasRepeat(): boolean {
+  hasRetry(): boolean {
     this.findBucket();
     let requests = 0;
     let repeats = 0;
--- a/src/gateway/repeat_policy.ts
+++ b/src/gateway/retry_policy.ts
@@ -1,7 +1,7 @@
 /** How often one request may be sent, as its route and the shared budget allow. */
 import {Clock} from '../common/clock';
 import {GatewayRules} from '../protocol/gateway_rules';
-import {RepeatBudget} from './repeat_budget';
+import {RetryBudget} from './retry_budget';
 
 /** Sendings that were refused as not run do not count as runs, but end here. */
 const MAX_REFUSALS = 3;
@@ -9,14 +9,14 @@
 /** What it follows from. */
 interface RepeatPolicyOptions {
   readonly route: GatewayRules['routes'][number];
-  readonly budget: RepeatBudget;
+  readonly budget: RetryBudget;
   readonly clock: Clock;
   /** When the caller gives up, on this process's monotonic clock. */
   readonly deadlineAt: number;
 }
 
 /** Counts the runs of one request. */
-export class RepeatPolicy {
+export class RetryPolicy {
   private runs = 0;
   private refusals = 0;
 
@@ -28,37 +28,37 @@
    * @example
    * const policy = RepeatPolicy.create({route, budget, clock, deadlineAt});
    */
-  static create(options: RepeatPolicyOptions): RepeatPolicy {
-    return new RepeatPolicy(options);
+  static create(options: RepeatPolicyOptions): RetryPolicy {
+    return new RetryPolicy(options);
   }
 
   /** It may have run. */
-  get hasRun(): boolean {
+  get mayHaveRun(): boolean {
     return this.runs > 0;
   }
 
   /** Its route allows another run. */
-  get canRunAgain(): boolean {
+  get canRetry(): boolean {
     const {route} = this.options;
     const isRepeatable = route.kind === 'safe' || route.isResumable;
     return isRepeatable && this.runs < route.maxAttempts;
   }
 
   /** A stream whose route allows another run beside the one under way. */
-  get canGoElsewhere(): boolean {
+  get canFailOver(): boolean {
     const {route} = this.options;
     const isResumable = route.kind === 'stream' && route.isResumable;
     return isResumable && this.runs + 1 < route.maxAttempts;
   }
 
   /** It was refused too rarely to give up. */
-  get canBeRefusedAgain(): boolean {
+  get canRetryAfterRefusal(): boolean {
     return this.refusals <= MAX_REFUSALS;
   }
 
   /** The shared budget has a repeat left. */
-  get hasRepeat(): boolean {
-    return this.options.budget.hasRepeat();
+  get hasRetry(): boolean {
+    return this.options.budget.hasRetry();
   }
 
   recordRun(): void {
@@ -70,8 +70,8 @@
   }
 
   /** Takes a repeat from the shared budget; false when none is left, or no time. */
-  takeRepeat(): boolean {
+  takeRetry(): boolean {
     const {clock, budget, deadlineAt} = this.options;
-    return clock.now() < deadlineAt && budget.takeRepeat();
+    return clock.now() < deadlineAt && budget.takeRetry();
   }
 }
--- a/src/gateway/rules_feed.ts
+++ b/src/gateway/rules_feed.ts
@@ -8,7 +8,7 @@
 import {ModelDemand} from '../protocol/model_demand';
 import {SuspectNews} from '../protocol/suspect_news';
 import {rulesCodec} from '../protocol/rules_codec';
-import {BackendLimits} from './backend_limits';
+import {BackendRateLimits} from './backend_rate_limits';
 import {RouteIndex} from './route_index';
 
 /** Above the time for which control holds a question. */
@@ -51,7 +51,7 @@
   readonly readSuspectsVersion: () => number;
   readonly onSuspects: (news: SuspectNews) => void;
   /** Limits of backend servers, which gateways tell each other through control. */
-  readonly limits: Pick<BackendLimits, 'describeNews' | 'applyNews'>;
+  readonly limits: Pick<BackendRateLimits, 'describeNews' | 'applyNews'>;
   readonly onTargets: (targets: ReadonlyMap<string, GatewayTarget>) => void;
   /** Addresses of the control processes, whenever they are told. */
   readonly onControl: (addresses: readonly string[]) => void;
--- a/src/gateway/pressed_models.ts
+++ b/src/gateway/saturated_models.ts
@@ -5,7 +5,7 @@
 const PRESSED_MS = 1_000;
 
 /** What this gateway tells control of them. */
-export class PressedModels {
+export class SaturatedModels {
   private readonly pressedAt = new Map<string, number>();
 
   private constructor(private readonly clock: Clock) {}
@@ -16,8 +16,8 @@
    * @example
    * const pressed = PressedModels.create(clock);
    */
-  static create(clock: Clock): PressedModels {
-    return new PressedModels(clock);
+  static create(clock: Clock): SaturatedModels {
+    return new SaturatedModels(clock);
   }
 
   /** Notes a refusal; true when control should hear of it at once. */
--- a/src/gateway/suspect_list.ts
+++ b/src/gateway/suspect_list.ts
@@ -35,7 +35,7 @@
   }
 
   /** What this gateway may do with a request. */
-  find(identity: RequestIdentity): Standing {
+  findStatus(identity: RequestIdentity): Standing {
     if (this.callers.size === 0 || !this.callers.has(identity.caller)) {
       return 'free';
     }
--- a/src/gateway/suspect_reporter.ts
+++ b/src/gateway/suspect_reporter.ts
@@ -1,6 +1,6 @@
 /** Tells control what this gateway sees of suspected requests: many things in one call, each until it is acknowledged. */
 import {CrashReport} from '../protocol/crash_report';
-import {BrokenRun} from './broken_run';
+import {InterruptedAttempt} from './interrupted_attempt';
 
 /** Runs on one backend server break within milliseconds of one another and are told together. */
 const JOIN_MS = 5;
@@ -54,7 +54,11 @@
   }
 
   /** A backend server ended under this request. */
-  recordCrash({target, name, hasBegun}: BrokenRun): void {
+  recordCrash({
+    target,
+    name,
+    hasResponseStarted: hasBegun,
+  }: InterruptedAttempt): void {
     const known = this.crashes.get(target.incarnation);
     const crash = known ?? {notBegun: new Set(), begun: new Set()};
     this.crashes.set(target.incarnation, crash);
@@ -67,19 +71,19 @@
   }
 
   /** Its trial is over, and nothing ended. */
-  release(name: string): void {
+  reportReleased(name: string): void {
     this.released.add(name);
     this.schedule(JOIN_MS);
   }
 
   /** It ran to its end. */
-  clear(name: string): void {
+  reportCleared(name: string): void {
     this.cleared.add(name);
     this.schedule(JOIN_MS);
   }
 
   /** Control does not know yet what is held against this request. */
-  isWaiting(name: string): boolean {
+  isPending(name: string): boolean {
     return (
       this.underWay.has(name) ||
       [...this.crashes.values()].some(({notBegun}) => notBegun.has(name))
--- a/src/gateway/suspect_trial.ts
+++ b/src/gateway/suspect_trial.ts
@@ -1,7 +1,7 @@
 /** One suspected request's way to a backend server: alone of all suspects there, or not at all. */
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
-import {Containment} from './containment';
+import {CrashContainment} from './crash_containment';
 import {RequestIdentity} from './request_identity';
 
 /**
@@ -22,7 +22,7 @@
 
 /** Whose trial it is. */
 interface SuspectTrialOptions {
-  readonly containment: Containment;
+  readonly containment: CrashContainment;
   readonly identity: RequestIdentity;
   readonly clock: Clock;
 }
@@ -51,23 +51,23 @@
   }
 
   /** It waits to be sent on. */
-  get isUnderWay(): boolean {
+  get isWaiting(): boolean {
     return this.waitsSince !== undefined;
   }
 
   /** It may be sent, in spite of what is held against it. */
-  get hasPlace(): boolean {
+  get hasGrant(): boolean {
     return this.isGranted;
   }
 
   /** A backend server may have ended under it just now. */
-  recordBreak(now: number): void {
+  recordConnectionLoss(now: number): void {
     this.wasSuspected = true;
     this.notBefore = now + SETTLE_MS;
   }
 
   /** Begins to wait for a place of its own. */
-  begin(now: number): void {
+  beginWaiting(now: number): void {
     this.wasSuspected = true;
     this.waitsSince = now;
     this.answer = undefined;
@@ -107,7 +107,7 @@
   }
 
   /** Its backend server has begun to answer: another suspect may go there. */
-  recordBegun(): void {
+  recordResponseStart(): void {
     this.release();
   }
 
@@ -118,12 +118,12 @@
   }
 
   /** It ran to its end. */
-  recordWhole(): void {
+  recordCompletion(): void {
     const {containment, identity} = this.options;
     // A caller may send many alike, and one that was under way clears all of them.
-    if (this.wasSuspected || containment.find(identity) !== 'free') {
+    if (this.wasSuspected || containment.findStatus(identity) !== 'free') {
       this.isGranted = false;
-      containment.clear(identity.name);
+      containment.clearSuspect(identity.name);
     }
   }
 
@@ -135,7 +135,7 @@
     );
     this.isAsking = false;
     this.isGranted = verdict === 'granted';
-    if (!this.isUnderWay) {
+    if (!this.isWaiting) {
       // Its caller left, or its time was over, while control thought about it.
       this.release();
     } else if (verdict === 'granted') {
@@ -153,7 +153,7 @@
   private release(): void {
     if (this.isGranted) {
       this.isGranted = false;
-      this.options.containment.release(this.options.identity.name);
+      this.options.containment.releaseTrial(this.options.identity.name);
     }
   }
 }
--- a/src/gateway/unseen_work.ts
+++ b/src/gateway/unreported_load.ts
@@ -10,7 +10,7 @@
 }
 
 /** Estimates it from this gateway's own work: the others have callers like its own. */
-export class UnseenWork {
+export class UnreportedLoad {
   /** Work that this gateway began lately, by line, oldest first. */
   private readonly starts = new Map<string, Start[]>();
   private others = 0;
@@ -27,8 +27,8 @@
    * @example
    * const unseen = UnseenWork.create(clock);
    */
-  static create(clock: Clock): UnseenWork {
-    return new UnseenWork(clock);
+  static create(clock: Clock): UnreportedLoad {
+    return new UnreportedLoad(clock);
   }
 
   /** This gateway began work at the engines of a line. */
@@ -38,7 +38,7 @@
   }
 
   /** The work of so many other gateways was told. */
-  recordTold(others: number): void {
+  recordReport(others: number): void {
     const now = this.clock.now();
     this.betweenTellingsMs = now - this.toldAt;
     this.toldAt = now;
@@ -46,7 +46,7 @@
   }
 
   /** What the others began at the engines of a line and nobody told yet, in tokens. */
-  compute(line: string): number {
+  estimate(line: string): number {
     const tokens = this.listRecent(line).reduce(
       (sum, start) => sum + start.tokens,
       0,
--- a/test/control/limit_aims.test.ts
+++ b/test/control/limit_aims.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendLimits} from '../../src/gateway/backend_limits';
+import {BackendRateLimits} from '../../src/gateway/backend_rate_limits';
 import {createRandom} from '../support/create_random';
 import {BACKEND, LimitCrowd} from '../support/limit_crowd';
 
@@ -173,7 +173,7 @@
   test('and a permit that was suspended on its way is not used', async () => {
     const steady = {now: () => 0};
     let suspendedMs = 0;
-    const limits = BackendLimits.create({
+    const limits = BackendRateLimits.create({
       clock: steady,
       leaseClock: {now: () => suspendedMs},
       events: EventRing.create(),
@@ -186,7 +186,7 @@
     });
     limits.record(BACKEND, 5, -1);
 
-    expect(await limits.askPermit(BACKEND)).toBeUndefined();
+    expect(await limits.acquirePermit(BACKEND)).toBeUndefined();
   });
 
   test('and a new start of the backend server has none', async () => {
--- a/test/gateway/backend_rests.test.ts
+++ b/test/gateway/backend_backoffs.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendRests} from '../../src/gateway/backend_rests';
+import {BackendBackoffs} from '../../src/gateway/backend_backoffs';
 
 const REST_MS = 3_000;
 const YEAR_MS = 365 * 24 * 3_600_000;
@@ -8,15 +8,15 @@
 function create(random = 0) {
   const clock = {time: 1_000, now: () => clock.time};
   const events = EventRing.create();
-  const rests = BackendRests.create({clock, events, random: () => random});
+  const rests = BackendBackoffs.create({clock, events, random: () => random});
   return {clock, rests, events};
 }
 
 /** Requests that are sent as long as it is open, none of them answered. */
-function fill(rests: BackendRests) {
+function fill(rests: BackendBackoffs) {
   const sent = [];
-  while (rests.isOpen('a') && sent.length < 100) {
-    sent.push(rests.begin('a'));
+  while (rests.isAvailable('a') && sent.length < 100) {
+    sent.push(rests.beginRequest('a'));
   }
   return sent;
 }
@@ -25,12 +25,12 @@
   test('gets nothing for so long, and others go on', () => {
     const {clock, rests} = create();
     rests.record('a', REST_MS);
-    expect(rests.isOpen('b')).toBe(true);
+    expect(rests.isAvailable('b')).toBe(true);
     clock.time += REST_MS - 1;
-    expect(rests.isOpen('a')).toBe(false);
-    expect(rests.findOpeningMs('a')).toBe(1);
+    expect(rests.isAvailable('a')).toBe(false);
+    expect(rests.findAvailableInMs('a')).toBe(1);
     clock.time += 1;
-    expect(rests.isOpen('a')).toBe(true);
+    expect(rests.isAvailable('a')).toBe(true);
   });
 
   test('is not rushed at when it has rested', () => {
@@ -45,7 +45,7 @@
       sent = fill(rests);
     }
     expect(counts).toEqual([1, 2, 4, 8, 16]);
-    expect(rests.findOpeningMs('a')).toBeUndefined();
+    expect(rests.findAvailableInMs('a')).toBeUndefined();
   });
 
   test('gets one request each time that it asks again', () => {
@@ -57,7 +57,7 @@
       expect(sent.length).toBe(1);
       rests.record('a', REST_MS);
       sent.forEach(end => end?.(false));
-      expect(rests.isOpen('a')).toBe(false);
+      expect(rests.isAvailable('a')).toBe(false);
     }
   });
 
@@ -65,7 +65,7 @@
     const {clock, rests} = create();
     rests.record('a', YEAR_MS);
     clock.time += 300_000;
-    expect(rests.isOpen('a')).toBe(true);
+    expect(rests.isAvailable('a')).toBe(true);
   });
 
   test('is not visited by all gateways at the same moment again', () => {
@@ -75,20 +75,19 @@
     late.rests.record('a', REST_MS);
     early.clock.time += REST_MS;
     late.clock.time += REST_MS;
-    expect([early.rests.isOpen('a'), late.rests.isOpen('a')]).toEqual([
-      true,
-      false,
-    ]);
+    expect([early.rests.isAvailable('a'), late.rests.isAvailable('a')]).toEqual(
+      [true, false],
+    );
   });
 
   test('is forgotten once control no longer tells it, not before it has rested', () => {
     const {clock, rests} = create();
     rests.record('a', REST_MS);
     rests.expire(() => false);
-    expect(rests.isOpen('a')).toBe(false);
+    expect(rests.isAvailable('a')).toBe(false);
     clock.time += REST_MS;
     fill(rests);
     rests.expire(() => false);
-    expect(rests.isOpen('a')).toBe(true);
+    expect(rests.isAvailable('a')).toBe(true);
   });
 });
--- a/test/gateway/backend_departures.test.ts
+++ b/test/gateway/backend_shutdowns.test.ts
@@ -1,12 +1,12 @@
 import {expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {BackendDepartures} from '../../src/gateway/backend_departures';
+import {BackendShutdowns} from '../../src/gateway/backend_shutdowns';
 import {waitUntil} from '../support/wait_until';
 
 test('a backend server that leaves gets nothing while control is away, and control hears it afterwards', async () => {
   const told: string[][] = [];
   let isAway = true;
-  const departures = BackendDepartures.create({
+  const departures = BackendShutdowns.create({
     events: EventRing.create(),
     reportLeaving: incarnations => {
       told.push(incarnations);
--- a/test/gateway/break_witness.test.ts
+++ b/test/gateway/crash_detector.test.ts
@@ -1,7 +1,7 @@
 import {afterEach, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
 import {systemClock} from '../../src/common/system_clock';
-import {BreakWitness} from '../../src/gateway/break_witness';
+import {CrashDetector} from '../../src/gateway/crash_detector';
 import {BackendStandIn} from '../support/backend_stand_in';
 
 const backends: BackendStandIn[] = [];
@@ -12,7 +12,7 @@
   const backend = await BackendStandIn.create(() => undefined);
   backends.push(backend);
   const events = EventRing.create();
-  const witness = BreakWitness.create({clock: systemClock, events});
+  const witness = CrashDetector.create({clock: systemClock, events});
   const target = {incarnation: 'i0', address: backend.address};
   return {backend, events, witness, target};
 }
@@ -21,8 +21,8 @@
   const {backend, events, witness, target} = await start();
   backend.close();
   const fates = await Promise.all([
-    witness.findFate({target, name: 'a', hasBegun: false}),
-    witness.findFate({target, name: 'b', hasBegun: true}),
+    witness.detectState({target, name: 'a', hasResponseStarted: false}),
+    witness.detectState({target, name: 'b', hasResponseStarted: true}),
   ]);
 
   expect(fates).toEqual(['ended', 'ended']);
@@ -37,17 +37,25 @@
 
 test('one that takes a new connection lives, whatever broke', async () => {
   const {witness, target} = await start();
-  const fate = await witness.findFate({target, name: 'a', hasBegun: false});
+  const fate = await witness.detectState({
+    target,
+    name: 'a',
+    hasResponseStarted: false,
+  });
   expect(fate).toBe('lives');
 });
 
 test('one that answers nothing may live', async () => {
   const {target} = await start();
-  const witness = BreakWitness.create({
+  const witness = CrashDetector.create({
     clock: systemClock,
     events: EventRing.create(),
     probe: () => Promise.resolve('silent'),
   });
-  const fate = await witness.findFate({target, name: 'a', hasBegun: false});
+  const fate = await witness.detectState({
+    target,
+    name: 'a',
+    hasResponseStarted: false,
+  });
   expect(fate).toBe('unknown');
 });
--- a/test/gateway/decisions.test.ts
+++ b/test/gateway/decisions.test.ts
@@ -5,7 +5,7 @@
 import {computeStallTimeoutMs} from '../../src/gateway/compute_stall_timeout_ms';
 import {EventSplitter} from '../../src/gateway/event_splitter';
 import {SlotForecast} from '../../src/gateway/slot_forecast';
-import {RepeatBudget} from '../../src/gateway/repeat_budget';
+import {RetryBudget} from '../../src/gateway/retry_budget';
 import {RouteIndex} from '../../src/gateway/route_index';
 import {StallDetector} from '../../src/gateway/stall_detector';
 import {LoadBalancer} from '../../src/gateway/load_balancer';
@@ -204,9 +204,9 @@
 
   test('is shared among the gateways and keeps a margin', () => {
     const clock = new HandClock();
-    const budget = RepeatBudget.create(limits, clock, () => 5);
+    const budget = RetryBudget.create(limits, clock, () => 5);
     let taken = 0;
-    while (budget.takeRepeat()) {
+    while (budget.takeRetry()) {
       taken += 1;
     }
     // 10 for five gateways, and four fifths of that.
@@ -215,17 +215,17 @@
 
   test('grows with requests and comes back with time', () => {
     const clock = new HandClock();
-    const budget = RepeatBudget.create(limits, clock, () => 1);
+    const budget = RetryBudget.create(limits, clock, () => 1);
     for (let count = 0; count < 10; count += 1) {
       budget.recordRequest();
     }
     let taken = 0;
-    while (budget.takeRepeat()) {
+    while (budget.takeRetry()) {
       taken += 1;
     }
     expect(taken).toBe(12);
     clock.time = 1_200;
-    expect(budget.takeRepeat()).toBe(true);
+    expect(budget.takeRetry()).toBe(true);
   });
 });
 
--- a/test/gateway/suspect_reporter.test.ts
+++ b/test/gateway/suspect_reporter.test.ts
@@ -24,7 +24,7 @@
     for (let at = 0; at < count; at += 1) {
       const name = `${reports.length}-${at}`;
       const target = {incarnation, address: 'a:1'};
-      reporter.recordCrash({target, name, hasBegun: at % 2 === 0});
+      reporter.recordCrash({target, name, hasResponseStarted: at % 2 === 0});
     }
   };
   while (reports.length < TRIES) {
--- a/test/support/crash_control.ts
+++ b/test/support/crash_control.ts
@@ -1,11 +1,11 @@
 /** Control, as far as gateways of `playCrashes` ask it: the real table, news that take their time, and moments without a leader. */
 import {SuspectTable} from '../../src/state/suspect_table';
-import {Containment} from '../../src/gateway/containment';
+import {CrashContainment} from '../../src/gateway/crash_containment';
 import {VirtualTime} from '../simulation/virtual_time';
 import {CrashFleetOptions} from './crash_fleet_options';
 import {Gateway} from './crash_fleet_parts';
 
-type Calls = Parameters<typeof Containment.create>[0]['calls'];
+type Calls = Parameters<typeof CrashContainment.create>[0]['calls'];
 
 const CONTROL_MS = 6;
 /** From the loss of a leader until another one answers. */
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -4,8 +4,8 @@
  * that begins them; some backend servers end by themselves, in waves.
  */
 import {EventRing} from '../../src/common/event_ring';
-import {BreakWitness} from '../../src/gateway/break_witness';
-import {Containment} from '../../src/gateway/containment';
+import {CrashDetector} from '../../src/gateway/crash_detector';
+import {CrashContainment} from '../../src/gateway/crash_containment';
 import {RequestIdentity} from '../../src/gateway/request_identity';
 import {SuspectTrial} from '../../src/gateway/suspect_trial';
 import {VirtualTime} from '../simulation/virtual_time';
@@ -123,9 +123,9 @@
     return `s${this.starts}`;
   }
 
-  private createContainment(): Containment {
-    return Containment.create({
-      witness: BreakWitness.create({
+  private createContainment(): CrashContainment {
+    return CrashContainment.create({
+      detector: CrashDetector.create({
         clock: this.time,
         events: EventRing.create(10),
         probe: () => Promise.resolve('refuses'),
@@ -190,13 +190,13 @@
   }
 
   private checkFlow(flow: Flow): void {
-    const standing = flow.gateway.containment.find(flow.identity);
+    const standing = flow.gateway.containment.findStatus(flow.identity);
     if (standing === 'convicted' && !flow.run?.hasBegun) {
       this.healthyRefused += flow.isMarked ? 0 : 1;
       this.finish(flow);
       return;
     }
-    if (!flow.trial.isUnderWay) {
+    if (!flow.trial.isWaiting) {
       return;
     }
     const step = flow.trial.check(this.time.now(), true, () => {
@@ -225,8 +225,8 @@
 
   private sendOn(flow: Flow): void {
     const {containment} = flow.gateway;
-    if (containment.find(flow.identity) !== 'free') {
-      flow.trial.begin(this.time.now());
+    if (containment.findStatus(flow.identity) !== 'free') {
+      flow.trial.beginWaiting(this.time.now());
       this.checkFlow(flow);
       return;
     }
@@ -265,13 +265,13 @@
     this.time.after(FIRST_EVENT_MS, () => {
       if (flow.run === run) {
         run.hasBegun = true;
-        flow.trial.recordBegun();
+        flow.trial.recordResponseStart();
       }
     });
     this.time.after(this.options.lengthMs, () => {
       if (flow.run === run) {
         server.running.delete(run);
-        flow.trial.recordWhole();
+        flow.trial.recordCompletion();
         this.finish(flow);
       }
     });
@@ -321,14 +321,14 @@
     flow.run = undefined;
     flow.runs += 1;
     flow.trial.end();
-    flow.trial.recordBreak(now);
+    flow.trial.recordConnectionLoss(now);
     flow.brokeAt = hasBegun ? undefined : now;
     const target = {incarnation, address: 'a:1'};
     const {name} = flow.identity;
-    const judged = flow.gateway.containment.recordBreak({
+    const judged = flow.gateway.containment.recordConnectionLoss({
       target,
       name,
-      hasBegun,
+      hasResponseStarted: hasBegun,
     });
     if (!hasBegun) {
       await judged;
--- a/test/support/crash_fleet_parts.ts
+++ b/test/support/crash_fleet_parts.ts
@@ -1,5 +1,5 @@
 /** What a fleet of `playCrashes` is made of. */
-import {Containment} from '../../src/gateway/containment';
+import {CrashContainment} from '../../src/gateway/crash_containment';
 import {RequestIdentity} from '../../src/gateway/request_identity';
 import {SuspectTrial} from '../../src/gateway/suspect_trial';
 
@@ -10,7 +10,7 @@
 }
 
 export interface Gateway {
-  containment: Containment;
+  containment: CrashContainment;
   /** It takes requests once it has rules, and the list of suspects comes with them. */
   isReady: boolean;
   readonly flows: Set<Flow>;
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -4,12 +4,12 @@
 import {systemClock} from '../../src/common/system_clock';
 import {EventRing} from '../../src/common/event_ring';
 import {BackendSignals} from '../../src/gateway/backend_signals';
-import {BreakWitness} from '../../src/gateway/break_witness';
+import {CrashDetector} from '../../src/gateway/crash_detector';
 import {CallerAnswer} from '../../src/gateway/caller_answer';
-import {Containment} from '../../src/gateway/containment';
+import {CrashContainment} from '../../src/gateway/crash_containment';
 import {FlowResult} from '../../src/gateway/flow_result';
 import {SlotForecast} from '../../src/gateway/slot_forecast';
-import {RepeatBudget} from '../../src/gateway/repeat_budget';
+import {RetryBudget} from '../../src/gateway/retry_budget';
 import {RequestFlow} from '../../src/gateway/request_flow';
 import {RequestIdentity} from '../../src/gateway/request_identity';
 import {LoadBalancer} from '../../src/gateway/load_balancer';
@@ -74,8 +74,8 @@
     () => undefined,
     this.signals.availability,
   );
-  private readonly containment = Containment.create({
-    witness: BreakWitness.create({clock: systemClock, events: this.events}),
+  private readonly containment = CrashContainment.create({
+    detector: CrashDetector.create({clock: systemClock, events: this.events}),
     calls: {
       report: () => Promise.resolve(),
       askTrial: () => Promise.resolve('free'),
@@ -196,7 +196,7 @@
         answer: CallerAnswer.create(response, 'request-id', () => false),
         origins: this.origins,
         board: this.board,
-        budget: RepeatBudget.create(
+        budget: RetryBudget.create(
           {ratio: 1, windowMs: 10_000, slack: 100},
           systemClock,
           () => 1,
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -6,7 +6,7 @@
 import {Clock} from '../../src/common/clock';
 import {EventRing} from '../../src/common/event_ring';
 import {LimitDesk} from '../../src/control/limit_desk';
-import {BackendLimits} from '../../src/gateway/backend_limits';
+import {BackendRateLimits} from '../../src/gateway/backend_rate_limits';
 import {LimitWord} from '../../src/protocol/limit_word';
 import {VirtualTime} from '../simulation/virtual_time';
 
@@ -35,7 +35,7 @@
 }
 
 class CrowdGateway {
-  limits: BackendLimits;
+  limits: BackendRateLimits;
   /** Frozen or suspended until then. */
   awayUntil = -Infinity;
   isCutOff = false;
@@ -51,9 +51,9 @@
     this.limits = this.start();
   }
 
-  start(): BackendLimits {
+  start(): BackendRateLimits {
     const {crowd, steady} = this;
-    this.limits = BackendLimits.create({
+    this.limits = BackendRateLimits.create({
       clock: steady,
       leaseClock: crowd.time,
       events: EventRing.create(),
@@ -159,7 +159,7 @@
   askPermit(
     gateway: CrowdGateway,
     limit: LimitWord,
-  ): ReturnType<Parameters<typeof BackendLimits.create>[0]['askPermit']> {
+  ): ReturnType<Parameters<typeof BackendRateLimits.create>[0]['askPermit']> {
     this.asks += 1;
     const {limits} = gateway;
     return new Promise((resolve, reject) => {
@@ -248,11 +248,11 @@
 
   private async place(gateway: CrowdGateway): Promise<void> {
     const {limits} = gateway;
-    if (!limits.isOpen(BACKEND)) {
+    if (!limits.isAvailable(BACKEND)) {
       return;
     }
     const isByPermit = limits.isLimited(BACKEND);
-    const permit = isByPermit && (await limits.askPermit(BACKEND));
+    const permit = isByPermit && (await limits.acquirePermit(BACKEND));
     const maySend = !isByPermit || permit;
     if (maySend && gateway.limits === limits) {
       this.send(gateway, isByPermit);
