--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -52,7 +52,7 @@
   private readonly reported = new Map<string, string>();
   private tag = '';
   /** No permit is requested before this time, since no leader answered. */
-  private noLeaderUntil = -Infinity;
+  private pausedUntil = -Infinity;
 
   private readonly lines: LimitLines;
 
@@ -100,9 +100,7 @@
   isAvailable(incarnation: string): boolean {
     const now = this.options.clock.now();
     const canAsk = this.pacings.get(incarnation)?.canAsk(now) ?? true;
-    return (
-      !this.isLimited(incarnation) || (canAsk && now >= this.noLeaderUntil)
-    );
+    return !this.isLimited(incarnation) || (canAsk && now >= this.pausedUntil);
   }
 
   /** Requests a permit to send one request at once; undefined if it is denied. */
@@ -118,7 +116,7 @@
     const verdict = await askPermit(limit).catch(() => undefined);
     pacing.settle(verdict, clock.now());
     if (!verdict) {
-      this.noLeaderUntil = clock.now() + NO_LEADER_RETRY_MS;
+      this.pausedUntil = clock.now() + NO_LEADER_RETRY_MS;
     }
     if (verdict?.kind === 'free') {
       const at = clock.now();
--- a/src/gateway/load_balancer.ts
+++ b/src/gateway/load_balancer.ts
@@ -1,7 +1,4 @@
-/**
- * Chooses the least loaded backend server for a request and tracks the health
- * of each.
- */
+/** Chooses the least loaded backend server for a request and tracks the health of each. */
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
 import {chooseByWaterFilling} from './choose_by_water_filling';
@@ -10,31 +7,19 @@
 
 /** Cooldown after a failed connection attempt. */
 const UNREACHABLE_COOLDOWN_MS = 1_000;
-/**
- * Cooldown after a stall in the middle of a response; longer than loading a
- * model takes.
- */
-const STALLED_COOLDOWN_MS = 3_000;
-/**
- * A group that forms later than this after a loss is not its replacement: hosts
- * were reassigned or came back.
- */
+/** Cooldown after a stall in the middle of a response; longer than loading a model takes. */
+const STALL_COOLDOWN_MS = 3_000;
+/** A group that forms later than this after a loss is not its replacement: hosts were reassigned or came back. */
 const MAX_REPAIR_MS = 10_000;
-/**
- * A target counts as active if it sent bytes within this time; spans a few
- * event intervals.
- */
+/** A target counts as active if it sent bytes within this time; spans a few event intervals. */
 const RECENT_ACTIVITY_MS = 600;
 /**
  * Extra load assumed for targets in other zones, in prompt tokens; small, as a
  * network hop is short compared with reading a prompt.
  */
 const CROSS_ZONE_PENALTY_TOKENS = 60;
-/**
- * Load of one running request, as the number of prompt tokens that are read in
- * the same time.
- */
-const TOKENS_PER_RUNNING_REQUEST = 250;
+/** Load of one running request, as the number of prompt tokens that are read in the same time. */
+const REQUEST_TOKENS = 250;
 
 /** A target and this gateway's view of it. */
 interface TargetState {
@@ -44,7 +29,7 @@
   runningElsewhere: number;
   /** Prompt tokens of requests without a response so far. */
   waitingTokens: number;
-  lastActivityAt: number;
+  lastActiveAt: number;
   avoidUntil: number;
   stalledAt: number;
 }
@@ -76,10 +61,7 @@
 /** Tracks targets, their load and their failures. */
 export class LoadBalancer {
   private states = new Map<string, TargetState>();
-  /**
-   * When a group of the model was lost that has not been replaced yet, by
-   * model.
-   */
+  /** When a group of the model was lost that has not been replaced yet, by model. */
   private readonly missingSince = new Map<string, number>();
   /** Time from the last loss of a group until a new one formed, by model. */
   private readonly repairMs = new Map<string, number>();
@@ -115,10 +97,7 @@
     return new LoadBalancer(zone, clock, random, onStalled, availability);
   }
 
-  /**
-   * Replaces the targets with those from the control plane; targets that remain
-   * keep their state.
-   */
+  /** Replaces the targets with those from the control plane; targets that remain keep their state. */
   setTargets(targets: ReadonlyMap<string, GatewayTarget>): void {
     const before = listGroups(this.states);
     const states = new Map<string, TargetState>();
@@ -232,10 +211,7 @@
     const state = this.states.get(incarnation);
     if (state) {
       const queue = createQueueKey(state.target);
-      this.unreported.recordStart(
-        queue,
-        TOKENS_PER_RUNNING_REQUEST + promptTokens,
-      );
+      this.unreported.recordStart(queue, REQUEST_TOKENS + promptTokens);
       state.running += 1;
       state.waitingTokens += promptTokens;
     }
@@ -266,14 +242,11 @@
         // The target recovered, so its group was not lost.
         this.missingSince.delete(state.target.model ?? '');
       }
-      state.lastActivityAt = this.clock.now();
+      state.lastActiveAt = this.clock.now();
     }
   }
 
-  /**
-   * Returns the requests known to run on a target, from this and the other
-   * gateways; -1 if the target is unknown.
-   */
+  /** Returns the requests known to run on a target, from this and the other gateways; -1 if the target is unknown. */
   countRunning(incarnation: string): number {
     const state = this.states.get(incarnation);
     return state ? state.running + state.runningElsewhere : -1;
@@ -281,13 +254,13 @@
 
   /** Returns when bytes last arrived from a target. */
   findLastActivityAt(incarnation: string): number {
-    return this.states.get(incarnation)?.lastActivityAt ?? -Infinity;
+    return this.states.get(incarnation)?.lastActiveAt ?? -Infinity;
   }
 
   /** True if a target has stalled and has sent nothing since. */
   isStalled(incarnation: string): boolean {
     const state = this.states.get(incarnation);
-    return state !== undefined && state.stalledAt > state.lastActivityAt;
+    return state !== undefined && state.stalledAt > state.lastActiveAt;
   }
 
   /** Avoids a target for a while that refused a connection. */
@@ -306,7 +279,7 @@
 
   /** Avoids a target for a while that stalled in the middle of its responses. */
   recordStalled(incarnation: string): void {
-    this.recordFailure(incarnation, STALLED_COOLDOWN_MS);
+    this.recordFailure(incarnation, STALL_COOLDOWN_MS);
   }
 
   private recordFailure(incarnation: string, avoidMs: number): void {
@@ -327,10 +300,7 @@
     this.states.delete(incarnation);
   }
 
-  /**
-   * Describes stalled and active targets and the running requests for the
-   * control plane.
-   */
+  /** Describes stalled and active targets and the running requests for the control plane. */
   describeHealth() {
     const now = this.clock.now();
     const stalled: string[] = [];
@@ -338,18 +308,15 @@
     const answeringMsAgo: number[] = [];
     const counts: Record<string, number> = {};
     for (const [incarnation, state] of this.states) {
-      const {lastActivityAt, stalledAt, running} = state;
+      const {lastActiveAt, stalledAt, running} = state;
       if (running > 0) {
         counts[incarnation] = running;
       }
-      if (
-        now - stalledAt < STALLED_COOLDOWN_MS &&
-        this.isStalled(incarnation)
-      ) {
+      if (now - stalledAt < STALL_COOLDOWN_MS && this.isStalled(incarnation)) {
         stalled.push(incarnation);
-      } else if (now - lastActivityAt < RECENT_ACTIVITY_MS) {
+      } else if (now - lastActiveAt < RECENT_ACTIVITY_MS) {
         answering.push(incarnation);
-        answeringMsAgo.push(Math.ceil(now - lastActivityAt));
+        answeringMsAgo.push(Math.ceil(now - lastActiveAt));
       }
     }
     return {stalled, answering, answeringMsAgo, running: counts};
@@ -376,7 +343,7 @@
     const zonePenalty =
       target.zone === this.zone ? 0 : CROSS_ZONE_PENALTY_TOKENS;
     const total = running + runningElsewhere;
-    return total * TOKENS_PER_RUNNING_REQUEST + waitingTokens + zonePenalty;
+    return total * REQUEST_TOKENS + waitingTokens + zonePenalty;
   }
 }
 
@@ -394,7 +361,7 @@
     running: 0,
     runningElsewhere: 0,
     waitingTokens: 0,
-    lastActivityAt: -Infinity,
+    lastActiveAt: -Infinity,
     avoidUntil: -Infinity,
     stalledAt: -Infinity,
   };
@@ -413,10 +380,7 @@
   );
 }
 
-/**
- * An engine keeps its speed until all of its slots are taken; further requests
- * queue there.
- */
+/** An engine keeps its speed until all of its slots are taken; further requests queue there. */
 function hasFreeSlot({
   target,
   running,
--- a/src/gateway/suspect_list.ts
+++ b/src/gateway/suspect_list.ts
@@ -9,7 +9,7 @@
  * Own observations that the control plane has not judged; it judges within a
  * round trip unless it is unreachable.
  */
-const MAX_OBSERVED = 256;
+const MAX_OWN = 256;
 
 /** How a gateway may treat a request. */
 type SuspectStatus = 'free' | 'suspected' | 'convicted';
@@ -17,7 +17,7 @@
 /** Checked for each request. */
 export class SuspectList {
   private readonly listed = new Map<string, SuspectStatus>();
-  private readonly observed = new Set<string>();
+  private readonly own = new Set<string>();
   /** Callers with held back requests; bodies of other callers need no digest. */
   private callers = new Set<string>();
   private listVersion = 0;
@@ -46,9 +46,7 @@
       return 'free';
     }
     const {name} = identity;
-    return (
-      this.listed.get(name) ?? (this.observed.has(name) ? 'suspected' : 'free')
-    );
+    return this.listed.get(name) ?? (this.own.has(name) ? 'suspected' : 'free');
   }
 
   /**
@@ -71,10 +69,10 @@
 
   /** Holds a request back until the control plane has judged it. */
   add(name: string): void {
-    this.observed.add(name);
-    const [oldest] = this.observed;
-    if (this.observed.size > MAX_OBSERVED) {
-      this.observed.delete(oldest);
+    this.own.add(name);
+    const [oldest] = this.own;
+    if (this.own.size > MAX_OWN) {
+      this.own.delete(oldest);
     }
     this.indexCallers();
   }
@@ -87,14 +85,14 @@
 
   /** Removes a request that the control plane has cleared or that has completed. */
   remove(name: string): void {
-    this.observed.delete(name);
+    this.own.delete(name);
     this.listed.delete(name);
     this.indexCallers();
   }
 
   private indexCallers(): void {
     this.callers = new Set(
-      [...this.listed.keys(), ...this.observed].map(RequestIdentity.readCaller),
+      [...this.listed.keys(), ...this.own].map(RequestIdentity.readCaller),
     );
   }
 }
