--- a/test/gateway/backend_shutdown.test.ts
+++ b/test/gateway/backend_shutdown.test.ts
@@ -1,4 +1,6 @@
-// A backend server that said in its answers that it leaves got new requests until control heard it from the backend server itself.
+// Guards against new requests to a backend server that announced its shutdown
+// in its responses: they continued until the control plane learned of it from
+// the backend server itself.
 import {afterEach, expect, test} from 'vitest';
 import {chunk, events} from '../support/backend_scripts';
 import {BackendSlots} from '../support/backend_slots';
@@ -6,9 +8,9 @@
 import {waitUntil} from '../support/wait_until';
 
 const GATEWAYS = 3;
-/** Within which every gateway knows what one of them heard. */
+/** Every gateway knows within this time what one of them received. */
 const KNOWN_WITHIN_MS = 1_000;
-const WATCHED_MS = 1_000;
+const OBSERVED_MS = 1_000;
 const EVENTS = 6;
 const BETWEEN_EVENTS_MS = 250;
 const BETWEEN_CALLS_MS = 30;
@@ -19,7 +21,7 @@
   await Promise.all(closers.splice(0).map(close => close()));
 });
 
-test('a backend server that says that it leaves gets no new request and ends what it has', async () => {
+test('a backend server that announces its shutdown gets no new requests and completes those it has', async () => {
   const reached: number[] = [];
   const slots = await BackendSlots.create({
     count: 2,
@@ -66,14 +68,14 @@
       .then(view => views.push(view));
   }, BETWEEN_CALLS_MS);
   const firstAt = await waitUntil('a stream there', async () => reached[0]);
-  const watchedFrom = firstAt + KNOWN_WITHIN_MS;
+  const observedFrom = firstAt + KNOWN_WITHIN_MS;
   await waitUntil(
-    'the end of the watch',
-    async () => performance.now() > watchedFrom + WATCHED_MS,
+    'the end of the observation',
+    async () => performance.now() > observedFrom + OBSERVED_MS,
   );
   clearInterval(timer);
 
-  expect(reached.filter(at => at > watchedFrom)).toEqual([]);
+  expect(reached.filter(at => at > observedFrom)).toEqual([]);
   await waitUntil('answers', async () => views.length === calls);
   expect(
     views.filter(({status, isWhole}) => status !== 200 || !isWhole),
--- a/test/gateway/backend_shutdowns.test.ts
+++ b/test/gateway/backend_shutdowns.test.ts
@@ -3,26 +3,28 @@
 import {BackendShutdowns} from '../../src/gateway/backend_shutdowns';
 import {waitUntil} from '../support/wait_until';
 
-test('a backend server that leaves gets nothing while control is away, and control hears it afterwards', async () => {
-  const told: string[][] = [];
-  let isAway = true;
-  const departures = BackendShutdowns.create({
+test('a backend server that shuts down gets no requests while the control plane is unreachable, which is told later', async () => {
+  const reports: string[][] = [];
+  let isUnreachable = true;
+  const shutdowns = BackendShutdowns.create({
     events: EventRing.create(),
     reportLeaving: incarnations => {
-      told.push(incarnations);
-      return isAway ? Promise.reject(new Error('away')) : Promise.resolve();
+      reports.push(incarnations);
+      return isUnreachable
+        ? Promise.reject(new Error('unreachable'))
+        : Promise.resolve();
     },
   });
-  departures.record('a');
-  departures.record('a');
-  expect(departures.has('a')).toBe(true);
-  expect(departures.has('b')).toBe(false);
-  await waitUntil('a second try', () => told.length > 1);
-  isAway = false;
-  const tries = told.length;
-  await waitUntil('a last try', () => told.length > tries);
+  shutdowns.record('a');
+  shutdowns.record('a');
+  expect(shutdowns.has('a')).toBe(true);
+  expect(shutdowns.has('b')).toBe(false);
+  await waitUntil('a second attempt', () => reports.length > 1);
+  isUnreachable = false;
+  const attempts = reports.length;
+  await waitUntil('a last attempt', () => reports.length > attempts);
 
-  departures.record('b');
-  await waitUntil('the next one', () => told.at(-1)?.includes('b'));
-  expect(told.at(-1)).toEqual(['b']);
+  shutdowns.record('b');
+  await waitUntil('the next report', () => reports.at(-1)?.includes('b'));
+  expect(reports.at(-1)).toEqual(['b']);
 });
--- a/test/gateway/backoff_request.test.ts
+++ b/test/gateway/backoff_request.test.ts
@@ -1,13 +1,18 @@
-// A backend server that turned requests away and asked for rest had nothing running, so that it got every next request, too.
+// Guards against sending to a backend server that refuses requests and asks for
+// a backoff: as nothing ran there, it was the least loaded one and got every
+// request.
 import {afterEach, expect, test} from 'vitest';
 import {BackendSlots} from '../support/backend_slots';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
-const REST_MS = 3_000;
-/** What a backend server bears from here on until its rest is over. */
-const BORNE_AFTER_MS = 500;
-const BORNE_REQUESTS = 2;
+const BACKOFF_MS = 3_000;
+/**
+ * The backend server tolerates this many requests from here on until its
+ * backoff is over.
+ */
+const TOLERATED_AFTER_MS = 500;
+const TOLERATED_REQUESTS = 2;
 const BETWEEN_CALLS_MS = 15;
 
 const closers: Array<() => Promise<void>> = [];
@@ -16,7 +21,7 @@
   await Promise.all(closers.splice(0).map(close => close()));
 });
 
-test('a backend server that asks for rest gets none of the requests that another one can take', async () => {
+test('a backend server that asks for a backoff gets no requests that another one can take', async () => {
   const reached: number[] = [];
   const slots = await BackendSlots.create({
     count: 2,
@@ -25,7 +30,7 @@
       if (headers.get('incarnation')?.startsWith('s0')) {
         reached.push(performance.now());
         socket.write(
-          `HTTP/1.1 503 Busy\r\nrequest-id: ${id}\r\nnot-run: 1\r\nrest-ms: ${REST_MS}\r\ncontent-length: 0\r\n\r\n`,
+          `HTTP/1.1 503 Busy\r\nrequest-id: ${id}\r\nnot-run: 1\r\nrest-ms: ${BACKOFF_MS}\r\ncontent-length: 0\r\n\r\n`,
         );
         return;
       }
@@ -57,15 +62,15 @@
   }, BETWEEN_CALLS_MS);
   const askedAt = await waitUntil('a refusal', async () => reached[0]);
   await waitUntil(
-    'the end of the rest',
-    async () => performance.now() > askedAt + REST_MS,
+    'the end of the backoff',
+    async () => performance.now() > askedAt + BACKOFF_MS,
   );
   clearInterval(timer);
 
   const within = reached.filter(
-    at => at > askedAt + BORNE_AFTER_MS && at < askedAt + REST_MS,
+    at => at > askedAt + TOLERATED_AFTER_MS && at < askedAt + BACKOFF_MS,
   );
-  expect(within.length).toBeLessThanOrEqual(BORNE_REQUESTS);
+  expect(within.length).toBeLessThanOrEqual(TOLERATED_REQUESTS);
   await waitUntil('answers', async () => statuses.length === calls);
   expect(statuses.filter(status => status !== 200)).toEqual([]);
 });
--- a/test/gateway/compute_retry_after_ms.test.ts
+++ b/test/gateway/compute_retry_after_ms.test.ts
@@ -1,41 +1,41 @@
 /**
- * Load: a group of a model is lost, requests that nobody has a place for are refused,
- * and their callers come back once. Told one fixed time each, they came back together
- * and while the load was as it had been.
+ * Guards against retries that arrive together: after the loss of a group,
+ * refused callers were all told the same fixed delay, so they came back at the
+ * same time and while the load was as high as before.
  */
 import {expect, test} from 'vitest';
 import {computeRetryAfterMs} from '../../src/gateway/compute_retry_after_ms';
 import {SlotForecast} from '../../src/gateway/slot_forecast';
 
 const LEFT_MS = 6_000;
-const HONOURED_PART = 1 / 3;
-const LATEST_MS = 2_000;
-const LINE = 'p m';
+const MAX_RETRY_AFTER_FRACTION = 1 / 3;
+const LONGEST_MS = 2_000;
+const QUEUE = 'p m';
 
-/** A place falls free and a request comes, each in its own rhythm, for a second. */
-function create(endEveryMs: number, arrivalEveryMs: number) {
+/** For one second, slots are freed and requests arrive at fixed intervals. */
+function create(freedIntervalMs: number, arrivalIntervalMs: number) {
   const clock = {time: 0, now: () => clock.time};
   const forecast = SlotForecast.create(clock);
   for (clock.time = 1; clock.time <= 1_000; clock.time += 1) {
-    if (clock.time % endEveryMs === 0) {
-      forecast.recordSlotFreed(LINE);
+    if (clock.time % freedIntervalMs === 0) {
+      forecast.recordSlotFreed(QUEUE);
     }
-    if (clock.time % arrivalEveryMs === 0) {
-      forecast.recordArrival(LINE);
+    if (clock.time % arrivalIntervalMs === 0) {
+      forecast.recordArrival(QUEUE);
     }
   }
-  const refuse = (place: {line?: string} = {line: LINE}) =>
+  const refuse = (options: {queue?: string} = {queue: QUEUE}) =>
     computeRetryAfterMs({
       forecast,
-      queue: place.line,
+      queue: options.queue,
       leftMs: LEFT_MS,
-      maxRetryAfterFraction: HONOURED_PART,
+      maxRetryAfterFraction: MAX_RETRY_AFTER_FRACTION,
       availableInMs: Infinity,
     });
   return {forecast, refuse};
 }
 
-test('callers come back one after the other, at the pace at which places are left over', () => {
+test('callers are told to retry one after the other, at the rate of spare slots', () => {
   const {refuse} = create(100, 200);
 
   const times = [refuse(), refuse(), refuse()];
@@ -46,26 +46,26 @@
   expect(times[2]).toBeCloseTo(3 * first);
 });
 
-test('those who wait in line come first', () => {
+test('queued requests come first', () => {
   const {forecast, refuse} = create(100, 200);
-  const alone = forecast.estimateRetryMs(LINE);
-  forecast.joinQueue(LINE, {});
+  const alone = forecast.estimateRetryMs(QUEUE);
+  forecast.joinQueue(QUEUE, {});
 
   expect(refuse()).toBeCloseTo(2 * alone);
 });
 
-test('callers stay away as long as they would while more come than go', () => {
+test('callers get the longest delay while arrivals exceed freed slots', () => {
   const {refuse} = create(200, 100);
-  expect([refuse(), refuse()]).toEqual([LATEST_MS, LATEST_MS]);
+  expect([refuse(), refuse()]).toEqual([LONGEST_MS, LONGEST_MS]);
 });
 
-test('nobody is told to come later than it would', () => {
+test('no delay is longer than callers honor', () => {
   const {refuse} = create(100, 200);
   const times = Array.from({length: 200}, () => refuse());
-  expect(Math.max(...times)).toBe(LATEST_MS);
+  expect(Math.max(...times)).toBe(LONGEST_MS);
 });
 
-test('callers of a service without a line stay away as long as they would', () => {
+test('callers of a service without a queue get the longest delay', () => {
   const {refuse} = create(100, 200);
-  expect(refuse({})).toBe(LATEST_MS);
+  expect(refuse({})).toBe(LONGEST_MS);
 });
--- a/test/gateway/crash_containment_simulation.test.ts
+++ b/test/gateway/crash_containment_simulation.test.ts
@@ -1,4 +1,7 @@
-/** Load: requests under which backend servers end come again at every gateway, beside healthy ones and beside losses that have nothing to do with them. */
+/**
+ * Simulates requests that crash backend servers and are repeated at every
+ * gateway, beside healthy requests and unrelated losses.
+ */
 import {describe, expect, test} from 'vitest';
 import {CrashFleetOptions} from '../support/crash_fleet_options';
 import {playCrashes} from '../support/crash_fleet';
@@ -16,10 +19,13 @@
   losses: [],
   newsMs: 30,
 };
-/** One after the other, each half a second after the one before. */
+/** Consecutive losses, half a second apart. */
 const SERIES = [0, 1, 2, 3, 4, 5].map(at => ({at: 3_000 + at * 500, count: 1}));
 
-/** Aims: two ended in the median, three at most, nothing sent once all know, within half a second, nobody else refused. */
+/**
+ * Objectives: two crashes in the median, three at most; nothing sent once all
+ * gateways know, which takes up to half a second; no other request refused.
+ */
 const MEDIAN_ENDED = 2;
 const MOST_ENDED = 3;
 const KNOWN_WITHIN_MS = 500;
@@ -43,8 +49,8 @@
 
 const NONE = SEEDS.map(() => 0);
 
-describe('a request under which backend servers end', () => {
-  test('ends two in the median and three at most, and nobody beside it is refused', async () => {
+describe('a request that crashes backend servers', () => {
+  test('crashes two in the median and three at most, and no other request is refused', async () => {
     const {median, most, sentAfterKnown, knownAfterMs, refused} = await play();
     expect(median).toBeLessThanOrEqual(MEDIAN_ENDED);
     expect(most).toBeLessThanOrEqual(MOST_ENDED);
@@ -55,34 +61,34 @@
   });
 
   test.each([
-    ['with two others like it', {marked: 3}],
+    ['with two others of its kind', {marked: 3}],
     ['beside a series of losses', {losses: SERIES}],
     ['beside kills of gateways', {killEveryMs: 1_000}],
     ['beside losses of the leader', {leaderLostEveryMs: 2_000}],
     ['beside both', {killEveryMs: 1_000, leaderLostEveryMs: 2_000}],
     [
-      'at 36 gateways with late news',
+      'at 36 gateways with delayed updates',
       {gateways: 36, servers: 30, perSecond: 300, newsMs: 300},
     ],
-  ])('%s, ends three at most', async (_name, changes) => {
+  ])('%s, crashes three at most', async (_name, changes) => {
     const {most, sentAfterKnown, refused} = await play(changes);
     expect(most).toBeLessThanOrEqual(MOST_ENDED);
     expect(sentAfterKnown).toEqual(NONE);
     expect(refused).toEqual(NONE);
   });
 
-  test('ends many more where gateways share nothing', async () => {
+  test('crashes many more if gateways share nothing', async () => {
     const {median} = await play({without: 'sharing'});
     expect(median).toBeGreaterThan(10);
   });
 });
 
-describe('losses that no request explains', () => {
+describe('losses that are not caused by a request', () => {
   test.each([
     ['a wave', [{at: 3_000, count: 4}]],
     ['a series', SERIES],
     ['all at once', [{at: 3_000, count: 9}]],
-  ])('%s: nobody is refused', async (_name, losses) => {
+  ])('%s: no request is refused', async (_name, losses) => {
     expect((await play({marked: 0, losses})).refused).toEqual(NONE);
   });
 });
--- a/test/gateway/crash_detector.test.ts
+++ b/test/gateway/crash_detector.test.ts
@@ -12,20 +12,20 @@
   const backend = await BackendStandIn.create(() => undefined);
   backends.push(backend);
   const events = EventRing.create();
-  const witness = CrashDetector.create({clock: systemClock, events});
+  const detector = CrashDetector.create({clock: systemClock, events});
   const target = {incarnation: 'i0', address: backend.address};
-  return {backend, events, witness, target};
+  return {backend, events, detector, target};
 }
 
-test('a backend server that takes no connection after one broke has ended', async () => {
-  const {backend, events, witness, target} = await start();
+test('a backend server that refuses new connections after one broke has ended', async () => {
+  const {backend, events, detector, target} = await start();
   backend.close();
-  const fates = await Promise.all([
-    witness.detectState({target, name: 'a', hasResponseStarted: false}),
-    witness.detectState({target, name: 'b', hasResponseStarted: true}),
+  const states = await Promise.all([
+    detector.detectState({target, name: 'a', hasResponseStarted: false}),
+    detector.detectState({target, name: 'b', hasResponseStarted: true}),
   ]);
 
-  expect(fates).toEqual(['ended', 'ended']);
+  expect(states).toEqual(['ended', 'ended']);
   expect(events.listSince(0)).toMatchObject([
     {
       type: 'backend-broke',
@@ -35,27 +35,27 @@
   ]);
 });
 
-test('one that takes a new connection lives, whatever broke', async () => {
-  const {witness, target} = await start();
-  const fate = await witness.detectState({
+test('one that accepts a new connection is alive, whatever broke', async () => {
+  const {detector, target} = await start();
+  const state = await detector.detectState({
     target,
     name: 'a',
     hasResponseStarted: false,
   });
-  expect(fate).toBe('lives');
+  expect(state).toBe('lives');
 });
 
-test('one that answers nothing may live', async () => {
+test('the state of one that does not answer is unknown', async () => {
   const {target} = await start();
-  const witness = CrashDetector.create({
+  const detector = CrashDetector.create({
     clock: systemClock,
     events: EventRing.create(),
     probe: () => Promise.resolve('silent'),
   });
-  const fate = await witness.detectState({
+  const state = await detector.detectState({
     target,
     name: 'a',
     hasResponseStarted: false,
   });
-  expect(fate).toBe('unknown');
+  expect(state).toBe('unknown');
 });
--- a/test/gateway/crashing_request.test.ts
+++ b/test/gateway/crashing_request.test.ts
@@ -1,13 +1,11 @@
 /**
- * A request came again and again under new ids, at one gateway after the other,
- * and each backend server that began to run it ended. Fifteen groups were lost to
- * one request and thirteen to another within half a minute, and healthy streams
- * broke beside it, up to three times each. What had been tried was known to one
- * attempt of the caller at one gateway and forgotten with its final answer, so
- * that the next attempt was a new request. "targets":"i-8080ad48ff i-8d883fde39"
- * and, 70 ms later at another gateway, "targets":"i-8080ad48ff i-8d883fde39
- * i-bafe16ebd8", both with 108 prompt tokens, showed that no single attempt had
- * done too much; three of three heads were gone after 0.7 s.
+ * Guards against a request that crashes each backend server which begins to run
+ * it, and that its caller repeats under new ids at one gateway after the other.
+ * Fifteen groups were lost to one such request and thirteen to another within
+ * half a minute, and healthy streams beside them broke up to three times each.
+ * No single attempt did too much: each gateway knew the targets tried only for
+ * its own attempt and forgot them with the final response, so each repeat
+ * counted as a new request.
  */
 import {afterEach, expect, test} from 'vitest';
 import {streamSteadily} from '../support/backend_scripts';
@@ -21,7 +19,7 @@
 const BETWEEN_ATTEMPTS_MS = 150;
 const BETWEEN_CALLS_MS = 60;
 const UNPROCESSABLE = 422;
-/** What may end before it is known who did it. */
+/** Backend servers that may end before the cause is known. */
 const MOST_ENDED = 3;
 
 const closers: Array<() => Promise<void>> = [];
@@ -49,7 +47,7 @@
   return {slots, fleet};
 }
 
-/** Callers of healthy requests, each with a body of its own, at a steady rate. */
+/** Sends healthy requests with distinct bodies at a steady rate. */
 function startHealthy(fleet: GatewayFleet) {
   const bodies: string[] = [];
   const timer = setInterval(() => {
@@ -61,7 +59,7 @@
   return {bodies, stop: () => clearInterval(timer)};
 }
 
-/** Calls again as long as it is told that the request has not run. */
+/** Repeats a request while it is refused as not run. */
 async function callUntilServed(fleet: GatewayFleet, at: number, body: string) {
   const {status} = await waitUntil(body, async () => {
     const view = await fleet.call(at % GATEWAYS, `a${at}`, false, 'h', body);
@@ -70,7 +68,7 @@
   return status;
 }
 
-test('a request under which backend servers end is stopped, wherever its caller repeats it', async () => {
+test('a request that crashes backend servers is stopped, at whichever gateway its caller repeats it', async () => {
   const {slots, fleet} = await start();
   const healthy = startHealthy(fleet);
   const views = [];
@@ -93,7 +91,7 @@
   expect(last.body).toContain('end');
 });
 
-test('requests that ran beside it are served when their callers repeat them', async () => {
+test('requests that ran at the same time are served when their callers repeat them', async () => {
   const {slots, fleet} = await start();
   const healthy = startHealthy(fleet);
   await waitUntil('healthy requests', () => healthy.bodies.length > 10);
--- a/test/gateway/decisions.test.ts
+++ b/test/gateway/decisions.test.ts
@@ -13,8 +13,8 @@
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 
-/** A clock that a test sets. */
-class HandClock implements Clock {
+/** A clock that is set by the test. */
+class ManualClock implements Clock {
   time = 0;
 
   now(): number {
@@ -62,13 +62,13 @@
     expect(index.findRoute('other', '/a/')).toBeUndefined();
   });
 
-  test('know the workspace of a key', () => {
+  test('find the workspace of a key', () => {
     expect(index.findWorkspace('key')?.name).toBe('w');
     expect(index.findWorkspace('other')).toBeUndefined();
     expect(index.findWorkspace(undefined)).toBeUndefined();
   });
 
-  test('share requests out by weight and send none where it is 0', () => {
+  test('distribute requests by weight, and none to a pool of weight 0', () => {
     const targets = [
       {pool: 'a', weight: 3},
       {pool: 'b', weight: 0},
@@ -81,16 +81,16 @@
   });
 });
 
-describe('what has stopped', () => {
+describe('the stall detector', () => {
   function create(
     quietMs: number,
     heardMsAgo: number,
     hasStarted = true,
     isPaused = false,
   ) {
-    const clock = new HandClock();
+    const clock = new ManualClock();
     clock.time = 10_000;
-    const board = LoadBalancer.create('z', clock, () => 0);
+    const balancer = LoadBalancer.create('z', clock, () => 0);
     const target = {
       incarnation: 'i',
       pool: 'p',
@@ -98,9 +98,9 @@
       zone: 'z',
       slots: 2,
     };
-    board.setTargets(new Map([['i', target]]));
+    balancer.setTargets(new Map([['i', target]]));
     clock.time -= heardMsAgo;
-    board.recordActivity('i');
+    balancer.recordActivity('i');
     clock.time = 10_000;
     const attempt = {
       target,
@@ -114,37 +114,40 @@
       findUsualStartMs: () => 150,
       findLongestStartMs: () => 320,
     };
-    return StallDetector.create(board, times).detectStall(attempt, clock.time);
+    return StallDetector.create(balancer, times).detectStall(
+      attempt,
+      clock.time,
+    );
   }
 
-  test('is the backend server when nothing else comes from there either', () => {
+  test('blames the backend server if its other streams are silent too', () => {
     expect(create(150, 150)).toBe('target');
     expect(create(90, 150)).toBeUndefined();
   });
 
-  test('is not the backend server when a first event may still be in its queue', () => {
+  test('does not blame the backend server while a first event may be queued', () => {
     expect(create(250, 250, false)).toBeUndefined();
     expect(create(350, 350, false)).toBe('target');
   });
 
-  test('is the connection when others hear from there, and no engine would take that long', () => {
+  test('blames the connection if other streams continue and the pause is too long for any engine', () => {
     expect(create(630, 10)).toBeUndefined();
     expect(create(650, 10)).toBe('connection');
-    // Its caller does not keep up, so nothing is read.
+    // A slow caller pauses reading.
     expect(create(650, 10, true, true)).toBeUndefined();
   });
 });
 
-describe('the forecast of places', () => {
-  test('tells each in line when its place falls free, by the newest ends', () => {
-    const clock = new HandClock();
+describe('the slot forecast', () => {
+  test('estimates the wait of each queued request from recently freed slots', () => {
+    const clock = new ManualClock();
     const forecast = SlotForecast.create(clock);
     const [first, second] = [{}, {}];
     expect(forecast.estimateWaitMs('m', first)).toBe(Infinity);
     for (clock.time = 0; clock.time <= 300; clock.time += 100) {
       forecast.recordSlotFreed('m');
     }
-    // Four ends in 400 ms.
+    // Four slots freed within 400 ms.
     expect(forecast.estimateWaitMs('m', first)).toBe(100);
     forecast.joinQueue('m', first);
     expect(forecast.estimateWaitMs('m', second)).toBe(200);
@@ -153,8 +156,8 @@
     expect(forecast.estimateWaitMs('m', second)).toBe(100);
   });
 
-  test('rises while nothing ends, until it knows nothing', () => {
-    const clock = new HandClock();
+  test('rises while no slot is freed, until nothing can be estimated', () => {
+    const clock = new ManualClock();
     const forecast = SlotForecast.create(clock);
     forecast.recordSlotFreed('m');
     clock.time = 2_000;
@@ -163,8 +166,8 @@
     expect(forecast.estimateWaitMs('m', {})).toBe(Infinity);
   });
 
-  test('knows how long the work of a route takes, on average and at most', () => {
-    const forecast = SlotForecast.create(new HandClock());
+  test('returns the average and longest time to the first event of a route', () => {
+    const forecast = SlotForecast.create(new ManualClock());
     expect(forecast.findAverageFirstEventMs('r')).toBe(0);
     forecast.recordFirstEventMs('r', 100);
     forecast.recordFirstEventMs('r', 200);
@@ -173,48 +176,50 @@
   });
 });
 
-test('a board knows how long the last lost group of a model was missing', () => {
-  const clock = new HandClock();
-  const board = LoadBalancer.create('z', clock, () => 0);
-  const place = {pool: 'p', address: 'a:1', zone: 'z', slots: 2, model: 'm'};
-  const tell = (epoch?: number) =>
-    board.setTargets(
+test('the load balancer measures how long the last lost group of a model was missing', () => {
+  const clock = new ManualClock();
+  const balancer = LoadBalancer.create('z', clock, () => 0);
+  const fields = {pool: 'p', address: 'a:1', zone: 'z', slots: 2, model: 'm'};
+  const list = (epoch?: number) =>
+    balancer.setTargets(
       new Map(
-        epoch === undefined ? [] : [['i', {incarnation: 'i', ...place, epoch}]],
+        epoch === undefined
+          ? []
+          : [['i', {incarnation: 'i', ...fields, epoch}]],
       ),
     );
-  tell(1);
-  expect(board.findRepairMs('m')).toBe(0);
-  tell();
+  list(1);
+  expect(balancer.findRepairMs('m')).toBe(0);
+  list();
   clock.time = 1_500;
-  tell(2);
-  expect(board.findRepairMs('m')).toBe(1_500);
-  // The same engine in a new group: nothing was missing, now or later.
+  list(2);
+  expect(balancer.findRepairMs('m')).toBe(1_500);
+  // The same engine is in a new group: no group was missing, now or later.
   clock.time = 2_000;
-  tell(3);
-  expect(board.findRepairMs('m')).toBe(0);
-  tell();
+  list(3);
+  expect(balancer.findRepairMs('m')).toBe(0);
+  list();
   clock.time = 60_000;
-  tell(4);
-  expect(board.findRepairMs('m')).toBe(0);
+  list(4);
+  expect(balancer.findRepairMs('m')).toBe(0);
 });
 
-describe('the budget of repeats', () => {
+describe('the retry budget', () => {
   const limits = {ratio: 0.5, windowMs: 1_000, slack: 10};
 
-  test('is shared among the gateways and keeps a margin', () => {
-    const clock = new HandClock();
+  test('is shared among the gateways, with a safety margin', () => {
+    const clock = new ManualClock();
     const budget = RetryBudget.create(limits, clock, () => 5);
     let taken = 0;
     while (budget.takeRetry()) {
       taken += 1;
     }
-    // 10 for five gateways, and four fifths of that.
+    // An allowance of 10 shared by five gateways, with a safety factor of 0.8.
     expect(taken).toBe(1);
   });
 
-  test('grows with requests and comes back with time', () => {
-    const clock = new HandClock();
+  test('grows with requests and recovers over time', () => {
+    const clock = new ManualClock();
     const budget = RetryBudget.create(limits, clock, () => 1);
     for (let count = 0; count < 10; count += 1) {
       budget.recordRequest();
@@ -230,7 +235,7 @@
 });
 
 describe('events of a stream', () => {
-  test('are passed on whole, however they arrive', () => {
+  test('are split into complete events, however they arrive', () => {
     const splitter = EventSplitter.create();
     expect(splitter.split(Buffer.from('id: 1\nda'))).toEqual([]);
     const events = splitter.split(Buffer.from('ta: x\n\nid: 2\n\nid: 3\n'));
@@ -242,7 +247,7 @@
     expect(splitter.pendingBytes).toBe(6);
   });
 
-  test('may have other lines before their id', () => {
+  test('may have other fields before their id', () => {
     const [event] = EventSplitter.create().split(
       Buffer.from('weights: 3\nid: 9\ndata: id: 4\n\n'),
     );
@@ -250,8 +255,8 @@
   });
 });
 
-describe('a stall', () => {
-  test('is longer than the longest pass of a healthy engine', () => {
+describe('the stall timeout', () => {
+  test('is longer than the longest step of a healthy engine', () => {
     const engine: GatewayRules['pools'][number]['engine'] = {
       models: [{name: 'm', size: 1, pace: 0.5, share: 1, loadMs: 1, warmMs: 1}],
       slots: 10,
@@ -266,97 +271,103 @@
       keptModels: 1,
       openMs: 0,
     };
-    // Four steps of 10 ms reading and 10 ms writing at half the time, and a quarter.
+    // Four steps of 10 ms reading and 10 ms writing, at pace 0.5 and with a
+    // safety factor of 1.25.
     expect(computeStallTimeoutMs(engine, 'm')).toBe(50);
     expect(computeStallTimeoutMs(undefined, 'm')).toBe(1_000);
   });
 });
 
-describe('the board of targets', () => {
+describe('the load balancer', () => {
   function target(
     incarnation: string,
     changes: Partial<GatewayTarget> = {},
   ): [string, GatewayTarget] {
-    const place = {pool: 'p', address: `${incarnation}:1`, zone: 'z', slots: 2};
-    return [incarnation, {incarnation, ...place, ...changes}];
+    const fields = {
+      pool: 'p',
+      address: `${incarnation}:1`,
+      zone: 'z',
+      slots: 2,
+    };
+    return [incarnation, {incarnation, ...fields, ...changes}];
   }
 
   function create(...targets: Array<[string, GatewayTarget]>) {
-    const clock = new HandClock();
-    const board = LoadBalancer.create('z', clock, () => 0);
-    board.setTargets(new Map(targets));
+    const clock = new ManualClock();
+    const balancer = LoadBalancer.create('z', clock, () => 0);
+    balancer.setTargets(new Map(targets));
     const choose = (mayQueue = false, model?: string) =>
-      board.choose({pool: 'p', model, mayQueue, excluded: new Set()})
+      balancer.choose({pool: 'p', model, mayQueue, excluded: new Set()})
         ?.incarnation;
-    return {clock, board, choose};
+    return {clock, balancer, choose};
   }
 
-  test('sends to the least busy, and to its own zone between equals', () => {
-    const {board, choose} = create(
+  test('chooses the least loaded target, and prefers its own zone at equal load', () => {
+    const {balancer, choose} = create(
       target('far', {zone: 'other'}),
       target('near'),
     );
     expect(choose()).toBe('near');
-    board.recordRequestStart('near', 100);
+    balancer.recordRequestStart('near', 100);
     expect(choose()).toBe('far');
   });
 
-  test('counts what other gateways run', () => {
-    const {board, choose} = create(target('a'), target('b'));
-    board.setRunningElsewhere({a: 3});
+  test('counts the requests of other gateways', () => {
+    const {balancer, choose} = create(target('a'), target('b'));
+    balancer.setRunningElsewhere({a: 3});
     expect(choose()).toBe('b');
   });
 
-  test('leaves an engine without a free place alone, unless it may queue', () => {
-    const {board, choose} = create(target('a', {model: 'm'}));
-    board.setRunningElsewhere({a: 2});
+  test('skips an engine without a free slot unless the request may queue', () => {
+    const {balancer, choose} = create(target('a', {model: 'm'}));
+    balancer.setRunningElsewhere({a: 2});
     expect(choose(false, 'm')).toBeUndefined();
     expect(choose(true, 'm')).toBe('a');
   });
 
-  test('passes over what took no connection, for a while', () => {
-    const {clock, board, choose} = create(target('a'));
-    board.recordUnreachable('a');
+  test('skips an unreachable target for a while', () => {
+    const {clock, balancer, choose} = create(target('a'));
+    balancer.recordUnreachable('a');
     expect(choose()).toBeUndefined();
     clock.time = 1_001;
     expect(choose()).toBe('a');
   });
 
-  test('tells control who stalls and who answers', () => {
-    const {clock, board} = create(target('a'), target('b'));
+  test('reports stalled and active targets', () => {
+    const {clock, balancer} = create(target('a'), target('b'));
     clock.time = 10;
-    board.recordActivity('b');
-    board.recordStalled('a');
-    expect(board.describeHealth()).toMatchObject({
+    balancer.recordActivity('b');
+    balancer.recordStalled('a');
+    expect(balancer.describeHealth()).toMatchObject({
       stalled: ['a'],
       answering: ['b'],
     });
     clock.time = 20;
-    board.recordActivity('a');
-    expect(board.describeHealth()).toMatchObject({
+    balancer.recordActivity('a');
+    expect(balancer.describeHealth()).toMatchObject({
       stalled: [],
       answering: ['a', 'b'],
     });
   });
 
-  test('says at once that a target stopped, and only once', () => {
-    const told: string[] = [];
-    const board = LoadBalancer.create(
+  test('reports a stalled target at once, and only once', () => {
+    const calls: string[] = [];
+    const balancer = LoadBalancer.create(
       'z',
-      new HandClock(),
+      new ManualClock(),
       () => 0,
-      () => told.push('stalled'),
+      () => calls.push('stalled'),
     );
-    board.setTargets(new Map([target('a')]));
-    board.recordStalled('a');
-    board.recordStalled('a');
-    expect(told).toEqual(['stalled']);
+    balancer.setTargets(new Map([target('a')]));
+    balancer.recordStalled('a');
+    balancer.recordStalled('a');
+    expect(calls).toEqual(['stalled']);
   });
 
-  test('keeps what it knows of targets that stay', () => {
-    const {board, choose} = create(target('a'), target('b'));
-    board.recordRequestStart('a', 100);
-    board.setTargets(new Map([target('a'), target('c')]));
+  test('keeps the state of targets that remain', () => {
+    const {balancer, choose} = create(target('a'), target('b'));
+    balancer.recordRequestStart('a', 100);
+    balancer.setTargets(new Map([target('a'), target('c')]));
     expect(choose()).toBe('c');
   });
 });
--- a/test/gateway/demand_meter.test.ts
+++ b/test/gateway/demand_meter.test.ts
@@ -15,8 +15,8 @@
   return {clock, meter, arrive, readRate};
 }
 
-describe('the demand that a gateway measures', () => {
-  test('is right from the first second on', () => {
+describe('the measured demand', () => {
+  test('is accurate from the first second on', () => {
     const {arrive, readRate} = create();
     arrive(20, 1_000);
     expect(readRate()).toBeGreaterThan(17);
@@ -32,7 +32,7 @@
     expect(readRate()).toBeLessThan(16);
   });
 
-  test('has the prompts, and the length of the answers that ended whole', () => {
+  test('includes prompt tokens and the length of complete responses', () => {
     const {meter, arrive} = create();
     arrive(20, 10_000);
     const answered = {outcome: 'answered' as const, events: 10};
@@ -47,7 +47,7 @@
     );
   });
 
-  test('leaves out plain services and requests that name no model', () => {
+  test('ignores plain services and requests without a model', () => {
     const {meter} = create();
     meter.recordArrival({model: 'big', promptTokens: 1}, undefined);
     meter.recordArrival({model: undefined, promptTokens: 1}, PROFILE);
--- a/test/gateway/load_balancer_herding.test.ts
+++ b/test/gateway/load_balancer_herding.test.ts
@@ -2,12 +2,12 @@
 import {createRandom} from '../support/create_random';
 import {CrowdResult, playCrowd} from '../support/gateway_crowd';
 
-// With 36 gateways a quarter of the streams of a calm day came late, though a third of
-// the places stood empty. Each gateway hears every 250 ms what the others run, all see
-// the same engine as the least busy one, and all send there until they hear again:
-// on one day's logs an engine that had just opened took some thirty streams within
-// 200 ms, each sent with "runningAtTarget" 1 to 4, and their first events came after
-// 838 to 968 ms, where others in the same second came after 200 to 300.
+// Guards against herding: each gateway hears the load of the others every 250
+// ms, so all of them saw the same least loaded engine and sent to it until the
+// next report. With 36 gateways a quarter of the streams were late at moderate
+// load although a third of the slots were free. An engine that had just opened
+// got about thirty streams within 200 ms, each sent with "runningAtTarget" 1 to
+// 4; their first events took 838 to 968 ms, others at the time 200 to 300 ms.
 
 const CROWD = {
   zones: 5,
@@ -43,14 +43,14 @@
   return results.map(({late}) => late);
 }
 
-describe('streams that many gateways place on the same engines', () => {
+describe('streams that many gateways send to the same engines', () => {
   test.each([5, 36, 100])('are in time with %d gateways', gateways => {
     const late = listLate(play({gateways, heads: 20}));
 
     expect(Math.max(...late)).toBeLessThan(0.01);
   });
 
-  test('are in time when nearly all places are needed', () => {
+  test('are in time when nearly all slots are needed', () => {
     const late = listLate(play({gateways: 36, heads: 13}));
 
     expect(Math.max(...late)).toBeLessThan(0.05);
--- a/test/gateway/process_end_report.test.ts
+++ b/test/gateway/process_end_report.test.ts
@@ -1,6 +1,7 @@
 /**
- * A head that ended with its process was doubted by control 2.6 to 3.8 s later, by two
- * registrations that did not come, while gateways knew of its end within milliseconds.
+ * Guards against a late report of a crash: the control plane detected the end
+ * of a head by two missed registrations, after 2.6 to 3.8 s, while gateways
+ * knew of it within milliseconds.
  */
 import {expect, test} from 'vitest';
 import {LoadBalancer} from '../../src/gateway/load_balancer';
@@ -15,33 +16,36 @@
   epoch: 1,
 };
 
-test('the end of a backend server is told to control at once', () => {
+test('the end of a backend server is reported to the control plane at once', () => {
   const clock = {time: 1_000, now: () => clock.time};
-  let told = 0;
-  const board = LoadBalancer.create(
+  let reports = 0;
+  const balancer = LoadBalancer.create(
     'z',
     clock,
     () => 0,
-    () => (told += 1),
+    () => (reports += 1),
   );
-  board.setTargets(new Map([['a', TARGET]]));
-  board.recordRequestStart('a', 100);
-  board.recordActivity('a');
+  balancer.setTargets(new Map([['a', TARGET]]));
+  balancer.recordRequestStart('a', 100);
+  balancer.recordActivity('a');
   clock.time += 100;
-  board.recordProcessEnded('a');
-  expect(told).toBe(1);
-  expect(board.describeHealth()).toMatchObject({stalled: ['a'], answering: []});
-  board.recordProcessEnded('a');
-  expect(told).toBe(1);
+  balancer.recordProcessEnded('a');
+  expect(reports).toBe(1);
+  expect(balancer.describeHealth()).toMatchObject({
+    stalled: ['a'],
+    answering: [],
+  });
+  balancer.recordProcessEnded('a');
+  expect(reports).toBe(1);
 });
 
-test('what gateways heard is told with its age', () => {
+test('activity is reported with its age', () => {
   const clock = {time: 1_000, now: () => clock.time};
-  const board = LoadBalancer.create('z', clock, () => 0);
-  board.setTargets(new Map([['a', TARGET]]));
-  board.recordActivity('a');
+  const balancer = LoadBalancer.create('z', clock, () => 0);
+  balancer.setTargets(new Map([['a', TARGET]]));
+  balancer.recordActivity('a');
   clock.time += 120;
-  expect(board.describeHealth()).toMatchObject({
+  expect(balancer.describeHealth()).toMatchObject({
     answering: ['a'],
     answeringMsAgo: [120],
   });
--- a/test/gateway/rate_limited_backend.test.ts
+++ b/test/gateway/rate_limited_backend.test.ts
@@ -1,4 +1,6 @@
-// A backend server that named a limit got as many requests as before, from gateways that had passed on its answers.
+// Guards against a rate limit without effect: gateways passed on the responses
+// of a backend server that announced one, and kept sending as many requests as
+// before.
 import {afterEach, expect, test} from 'vitest';
 import {BackendSlots} from '../support/backend_slots';
 import {GatewayFleet} from '../support/gateway_fleet';
@@ -6,10 +8,13 @@
 
 const PER_SECOND = 5;
 const WINDOW_MS = 4_000;
-/** What a backend server bears of its limit in a window, and requests beyond that. */
-const BORNE_PART = 1.5;
-const BORNE_REQUESTS = 5;
-/** Within which every gateway knows a limit that one of them heard. */
+/**
+ * The backend server tolerates this multiple of its limit in a window, and this
+ * many requests beyond it.
+ */
+const TOLERATED_FACTOR = 1.5;
+const TOLERATED_REQUESTS = 5;
+/** Every gateway knows within this time a limit that one of them received. */
 const KNOWN_WITHIN_MS = 1_000;
 const BETWEEN_CALLS_MS = 15;
 
@@ -27,7 +32,7 @@
 }
 
 test.each([1, 3])(
-  'a backend server that names a limit gets no more than it bears from %d gateways together',
+  'a backend server that announces a limit gets no more than it tolerates from %d gateways together',
   async gateways => {
     const reached: number[] = [];
     const slots = await BackendSlots.create({
@@ -76,8 +81,8 @@
     );
     clearInterval(timer);
 
-    const borne = PER_SECOND * 4 * BORNE_PART + BORNE_REQUESTS;
-    expect(countMost(known())).toBeLessThanOrEqual(borne);
+    const tolerated = PER_SECOND * 4 * TOLERATED_FACTOR + TOLERATED_REQUESTS;
+    expect(countMost(known())).toBeLessThanOrEqual(tolerated);
     expect(known().length).toBeGreaterThan(0);
     await waitUntil('answers', async () => statuses.length === calls);
     expect(statuses.filter(status => status !== 200)).toEqual([]);
--- a/test/gateway/suspect_reporter.test.ts
+++ b/test/gateway/suspect_reporter.test.ts
@@ -1,43 +1,49 @@
 /**
- * What a gateway could not tell control was kept and joined with what came later,
- * without a limit, while control takes 512 requests of one end: a report that had
- * grown beyond that was refused each time, and with it everything that waited.
+ * Guards against reports that grow beyond what the control plane accepts:
+ * unsent reports were merged with later ones without a limit, while it takes
+ * 512 requests per crash. A larger report was refused each time, and with it
+ * everything else that waited.
  */
 import {expect, test} from 'vitest';
 import {SuspectReporter} from '../../src/gateway/suspect_reporter';
 import {CrashReport} from '../../src/protocol/crash_report';
 import {waitUntil} from '../support/wait_until';
 
-const RUNS = 200;
-const TRIES = 5;
-/** A frame between processes is far above it, at some 70 bytes for each name. */
+const REQUESTS = 200;
+const ATTEMPTS = 5;
+/**
+ * A message between processes may be far larger than this, at about 70 bytes
+ * for each name.
+ */
 const MOST_NAMES = 32 * 1_024;
 
-test('what waits for control to come back never grows beyond what control takes', async () => {
+test('what waits for the control plane never grows beyond what it accepts', async () => {
   const reports: CrashReport[][] = [];
-  let isAway = true;
+  let isUnreachable = true;
   const reporter = SuspectReporter.create(({crashes}) => {
     reports.push(crashes);
-    return isAway ? Promise.reject(new Error('away')) : Promise.resolve();
+    return isUnreachable
+      ? Promise.reject(new Error('unreachable'))
+      : Promise.resolve();
   });
-  const breakOn = (incarnation: string, count: number) => {
+  const crash = (incarnation: string, count: number) => {
     for (let at = 0; at < count; at += 1) {
       const name = `${reports.length}-${at}`;
       const target = {incarnation, address: 'a:1'};
       reporter.recordCrash({target, name, hasResponseStarted: at % 2 === 0});
     }
   };
-  while (reports.length < TRIES) {
+  while (reports.length < ATTEMPTS) {
     const before = reports.length;
-    breakOn('i0', 2 * RUNS);
-    for (let other = 0; other < RUNS; other += 1) {
-      breakOn(`${before}-${other}`, RUNS);
+    crash('i0', 2 * REQUESTS);
+    for (let other = 0; other < REQUESTS; other += 1) {
+      crash(`${before}-${other}`, REQUESTS);
     }
-    await waitUntil('a try', () => reports.length > before);
+    await waitUntil('an attempt', () => reports.length > before);
   }
-  isAway = false;
+  isUnreachable = false;
   const before = reports.length;
-  await waitUntil('a report that is taken', () => reports.length > before);
+  await waitUntil('an accepted report', () => reports.length > before);
   reporter.close();
 
   for (const crashes of reports) {
@@ -46,8 +52,8 @@
       0,
     );
     expect(count).toBeLessThanOrEqual(MOST_NAMES);
-    for (const crash of crashes) {
-      expect(CrashReport.safeParse(crash).success).toBe(true);
+    for (const entry of crashes) {
+      expect(CrashReport.safeParse(entry).success).toBe(true);
     }
   }
 });
--- a/test/gateway/unavailable_backends.test.ts
+++ b/test/gateway/unavailable_backends.test.ts
@@ -6,13 +6,16 @@
 const LATER: PermitVerdict = {kind: 'later', pauseMs: 400, intervalMs: 1_000};
 const GRANTED: PermitVerdict = {kind: 'granted', pauseMs: 0, intervalMs: 0};
 const FREE: PermitVerdict = {kind: 'free', pauseMs: 0, intervalMs: 0};
-/** Callers come back as told within this part of their time. */
-const HONOURED_PART = 1 / 3;
+/** Callers honor a Retry-After delay within this share of their time. */
+const MAX_RETRY_AFTER_FRACTION = 1 / 3;
 const HELD_MS = 3_000;
-/** To one backend server, from the gateway of these tests. */
+/** Connections from the gateway of these tests to one backend server. */
 const CONNECTIONS = 4;
 
-/** Two backend servers, the first with a limit; what the leader says of it. */
+/**
+ * Starts backend servers, the first with a rate limit that the leader decides
+ * on by this verdict.
+ */
 async function startLimited(verdict: PermitVerdict | undefined, count = 2) {
   const handlers = ['first', 'second'].map(text => answer(text));
   const {fixture, backends} = await start(handlers.slice(0, count));
@@ -23,13 +26,13 @@
   return {fixture, backends};
 }
 
-describe('a request for a backend server with a limit', () => {
-  test('goes there by a permit', async () => {
+describe('a request for a rate-limited backend server', () => {
+  test('is sent with a permit', async () => {
     const {fixture} = await startLimited(GRANTED);
     expect(await fixture.ask()).toMatchObject({status: 200, body: 'first'});
   });
 
-  test('goes there freely once control knows of no limit', async () => {
+  test('is sent without a permit once the control plane lists no limit', async () => {
     const {fixture} = await startLimited(FREE);
     expect(await fixture.ask()).toMatchObject({status: 200, body: 'first'});
     expect(fixture.signals.limits.isLimited('i0')).toBe(false);
@@ -37,14 +40,14 @@
 
   test.each([
     ['the leader denies it', LATER],
-    ['nobody leads', undefined],
-  ])('goes elsewhere at once where %s', async (_why, verdict) => {
+    ['there is no leader', undefined],
+  ])('is sent to another one at once if %s', async (_why, verdict) => {
     const {fixture, backends} = await startLimited(verdict);
     expect(await fixture.ask()).toMatchObject({status: 200, body: 'second'});
     expect(backends[0].requests).toEqual([]);
   });
 
-  test('is refused at once where there is no other, with the time of the next place', async () => {
+  test('is refused at once if there is no other, with the delay until the next permit', async () => {
     const {fixture, backends} = await startLimited(LATER, 1);
     const {status, headers, body} = await fixture.ask();
     expect(status).toBe(503);
@@ -54,33 +57,33 @@
     expect(retryMs).toBeLessThanOrEqual(LATER.pauseMs);
     expect(backends[0].requests).toEqual([]);
 
-    // The next caller is told to come after the one before it.
+    // The next caller gets a longer delay than the one before.
     const next = await fixture.ask();
     const nextMs = Number(next.headers['retry-after']) * 1_000;
     expect(nextMs).toBeGreaterThan(retryMs);
-    expect(nextMs).toBeLessThanOrEqual(HELD_MS * HONOURED_PART);
+    expect(nextMs).toBeLessThanOrEqual(HELD_MS * MAX_RETRY_AFTER_FRACTION);
   });
 });
 
-test('a backend server that starts again at its address has none of the words of its last life', async () => {
+test('a backend server that restarts at its address is free of the signals of its former incarnation', async () => {
   const {fixture} = await start([answer('again')]);
   const before = {incarnation: 'i0', sentAt: 0};
   const head = {limitPerSecond: 0, restMs: 60_000, isLeaving: true};
   fixture.signals.recordHead({...before, head: {...head, isSealed: true}});
   expect((await fixture.ask()).status).toBe(503);
   const [[, target]] = fixture.targets;
-  const anew = {...target, incarnation: 'i0-again'};
-  fixture.board.setTargets(new Map([['i0-again', anew]]));
+  const restarted = {...target, incarnation: 'i0-again'};
+  fixture.board.setTargets(new Map([['i0-again', restarted]]));
 
   expect(await fixture.ask()).toMatchObject({status: 200, body: 'again'});
 });
 
-describe('a request that waits for its connection', () => {
+describe('a request that waits for a connection', () => {
   test.each([
-    ['names a limit', {limitPerSecond: 5}],
-    ['asks for rest', {restMs: 5_000}],
-    ['says that it leaves', {isLeaving: true}],
-  ])('goes elsewhere once its backend server %s', async (_what, said) => {
+    ['announces a limit', {limitPerSecond: 5}],
+    ['asks for a backoff', {restMs: 5_000}],
+    ['announces its shutdown', {isLeaving: true}],
+  ])('is sent elsewhere once its backend server %s', async (_what, said) => {
     const silent = () => undefined;
     const {fixture, backends} = await start([silent, answer('second')]);
     fixture.board.setTargets(new Map(fixture.targets.slice(0, 1)));
@@ -98,8 +101,8 @@
   });
 });
 
-describe('a limit', () => {
-  test('stands after an answer that its backend server does not vouch for', async () => {
+describe('a rate limit', () => {
+  test('remains after an unsealed response', async () => {
     const unsealed = write(
       'HTTP/1.1 503 Full\nrequest-id: q\nnot-run: 1\ncontent-length: 0\n\n',
     );
@@ -110,15 +113,15 @@
     expect(fixture.signals.limits.isLimited('i0')).toBe(true);
   });
 
-  test('ends with an answer that names none', async () => {
+  test('ends with a response without one', async () => {
     const {fixture} = await startLimited(GRANTED);
     await fixture.ask();
     expect(fixture.signals.limits.isLimited('i0')).toBe(false);
   });
 });
 
-describe('a request whose backend servers take nothing', () => {
-  test('is refused at once while the only one rests, until it has rested', async () => {
+describe('a request whose backend servers are unavailable', () => {
+  test('is refused at once during the backoff of the only one, until that is over', async () => {
     const rest = write(
       'HTTP/1.1 503 Busy\nrequest-id: q\nnot-run: 1\nrest-ms: 700\ncontent-length: 0\n\n',
     );
@@ -133,7 +136,7 @@
     expect(backends[0].requests.length).toBe(1);
   });
 
-  test('is refused once the only one has said that it leaves', async () => {
+  test('is refused once the only one has announced its shutdown', async () => {
     const {fixture, backends} = await start([answer('bye', 'leaving: 1\n')]);
     expect(await fixture.ask()).toMatchObject({status: 200, body: 'bye'});
     const {status, body} = await fixture.ask();
@@ -142,7 +145,7 @@
     expect(backends[0].requests.length).toBe(1);
   });
 
-  test('is sent on as before after a refusal that asks for nothing', async () => {
+  test('is sent as before after a refusal without a backoff', async () => {
     const {fixture, backends} = await start([notRun, answer('second')]);
     expect(await fixture.ask()).toMatchObject({status: 200, body: 'second'});
     expect(await fixture.ask()).toMatchObject({status: 200, body: 'second'});
