--- a/src/gateway/backend_backoffs.ts
+++ b/src/gateway/backend_backoffs.ts
@@ -9,7 +9,7 @@
 const MAX_BACKOFF_MS = 300_000;
 /**
  * Gateways that were refused together resume spread over this share of the
- * backoff, up to the given maximum.
+ * backoff, for at most MAX_SPREAD_MS.
  */
 const SPREAD_FRACTION = 0.25;
 const MAX_SPREAD_MS = 1_000;
--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -169,19 +169,19 @@
   /**
    * Applies the leader's answer.
    *
-   * @param told the limits that were sent to it
+   * @param sent the limits that were sent to it
    */
   applyNews(
-    told: readonly LimitWord[],
+    sent: readonly LimitWord[],
     tag: string,
-    news: readonly LimitWord[],
+    received: readonly LimitWord[],
   ): void {
     const now = this.options.clock.now();
     this.tag = tag;
-    told.forEach(change =>
+    sent.forEach(change =>
       this.reported.set(change.incarnation, formatReported(tag, change)),
     );
-    for (const change of news) {
+    for (const change of received) {
       const {incarnation, perSecond, msAgo} = change;
       const reason = 'reported by another gateway';
       this.apply({incarnation, perSecond, at: now - msAgo, reason});
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -22,7 +22,7 @@
 const MAX_NAMED = 8;
 
 /** The state of a backend server's process after a connection to it broke. */
-type ProcessState = 'ended' | 'lives' | 'unknown';
+type ProcessState = 'ended' | 'alive' | 'unknown';
 
 interface Break {
   readonly since: number;
@@ -32,13 +32,13 @@
 
 const STATES = {
   refuses: 'ended',
-  listens: 'lives',
+  listens: 'alive',
   silent: 'unknown',
 } as const;
 
 const REASONS: Readonly<Record<ProcessState, string>> = {
   ended: 'connections broke and new ones are refused',
-  lives: 'connections broke, but new ones are accepted',
+  alive: 'connections broke, but new ones are accepted',
   unknown: 'connections broke and a new one timed out',
 };
 
--- a/src/gateway/create_stall_thresholds.ts
+++ b/src/gateway/create_stall_thresholds.ts
@@ -21,7 +21,7 @@
  * the recent times of its route.
  *
  * @example
- * const stall = StallDetector.create(board, createStallThresholds({route, pool, model, promptTokens, work, forecast}));
+ * const stall = StallDetector.create(balancer, createStallThresholds({route, pool, model, promptTokens, work, forecast}));
  */
 export function createStallThresholds(
   input: StallThresholdsInput,
--- a/test/gateway/backend_shutdown.test.ts
+++ b/test/gateway/backend_shutdown.test.ts
@@ -31,9 +31,9 @@
       if (isLeaving) {
         reached.push(performance.now());
       }
-      const told = isLeaving ? 'leaving: 1\r\n' : '';
+      const header = isLeaving ? 'leaving: 1\r\n' : '';
       socket.write(
-        `HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nseal: s\r\n${told}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n`,
+        `HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nseal: s\r\n${header}content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n`,
       );
       for (let at = 1; at <= EVENTS; at += 1) {
         const last = at === EVENTS ? '0\r\n\r\n' : '';
--- a/test/gateway/backend_shutdowns.test.ts
+++ b/test/gateway/backend_shutdowns.test.ts
@@ -3,7 +3,7 @@
 import {BackendShutdowns} from '../../src/gateway/backend_shutdowns';
 import {waitUntil} from '../support/wait_until';
 
-test('a backend server that shuts down gets no requests while the control plane is unreachable, which is told later', async () => {
+test('a backend server that shuts down gets no requests while the control plane is unreachable, which gets the report later', async () => {
   const reports: string[][] = [];
   let isUnreachable = true;
   const shutdowns = BackendShutdowns.create({
--- a/test/gateway/crash_detector.test.ts
+++ b/test/gateway/crash_detector.test.ts
@@ -42,7 +42,7 @@
     name: 'a',
     hasResponseStarted: false,
   });
-  expect(state).toBe('lives');
+  expect(state).toBe('alive');
 });
 
 test('the state of one that does not answer is unknown', async () => {
--- a/test/gateway/load_balancer_herding.test.ts
+++ b/test/gateway/load_balancer_herding.test.ts
@@ -2,7 +2,7 @@
 import {createRandom} from '../support/create_random';
 import {CrowdResult, playCrowd} from '../support/gateway_crowd';
 
-// Guards against herding: each gateway hears the load of the others every 250
+// Guards against herding: each gateway gets the load of the others every 250
 // ms, so all of them saw the same least loaded engine and sent to it until the
 // next report. With 36 gateways a quarter of the streams were late at moderate
 // load although a third of the slots were free. An engine that had just opened
--- a/test/gateway/unavailable_backends.test.ts
+++ b/test/gateway/unavailable_backends.test.ts
@@ -122,10 +122,10 @@
 
 describe('a request whose backend servers are unavailable', () => {
   test('is refused at once during the backoff of the only one, until that is over', async () => {
-    const rest = write(
+    const refusal = write(
       'HTTP/1.1 503 Busy\nrequest-id: q\nnot-run: 1\nrest-ms: 700\ncontent-length: 0\n\n',
     );
-    const {fixture, backends} = await start([rest]);
+    const {fixture, backends} = await start([refusal]);
     const first = await fixture.ask();
     const second = await fixture.ask();
     for (const {status, headers, body} of [first, second]) {
