--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -2,10 +2,10 @@
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
 import {HttpOrigins} from '../transport/http_origins';
-import {AnswerHead} from './answer_head';
-import {AttemptEnd} from './attempt_end';
+import {ResponseHead} from './response_head';
+import {AttemptOutcome} from './attempt_outcome';
 import {BackendSignals} from './backend_signals';
-import {CallerDialect} from './caller_dialect';
+import {HttpDialect} from './http_dialect';
 import {GatewayRequest} from './gateway_request';
 import {SendPermit} from './send_permit';
 import {TargetBoard} from './target_board';
@@ -24,13 +24,13 @@
   readonly origins: HttpOrigins;
   readonly board: TargetBoard;
   readonly signals: BackendSignals;
-  readonly dialect: CallerDialect;
+  readonly dialect: HttpDialect;
   readonly clock: Clock;
   /** The head of an answer that is the backend server's own. */
-  readonly onHead: (head: AnswerHead) => void;
+  readonly onHead: (head: ResponseHead) => void;
   readonly onData: (chunk: Buffer) => void;
   /** Told once, as the last thing. */
-  readonly onEnd: (end: AttemptEnd) => void;
+  readonly onEnd: (end: AttemptOutcome) => void;
 }
 
 /** An attempt under way. */
@@ -38,7 +38,7 @@
   /** When it was sent or bytes last came, whichever is newer. */
   quietSince: number;
   private handle: ReturnType<HttpOrigins['call']> | undefined;
-  private head: AnswerHead | undefined;
+  private head: ResponseHead | undefined;
   private hasBytes = false;
   private isSent = false;
   private sentAt = -Infinity;
@@ -141,7 +141,7 @@
       {
         onSent: () => this.handleSent(),
         onHead: (status, raw) =>
-          this.handleHead(dialect.readAnswer(status, raw)),
+          this.handleHead(dialect.readResponseHead(status, raw)),
         onData: chunk => this.handleData(chunk),
         onEnd: () => this.handleEnd(),
         onError: error => this.handleError(error),
@@ -159,22 +159,22 @@
     this.sentAt = this.options.clock.now();
   }
 
-  private handleHead(head: AnswerHead): void {
+  private handleHead(head: ResponseHead): void {
     const {request, board, target, signals} = this.options;
     if (this.isEnded) {
       return;
     }
-    const isOwn = head.isNotRun || head.requestId === request.id;
-    if (isOwn && !head.isOtherIncarnation) {
+    const isOwn = head.isNotExecuted || head.requestId === request.id;
+    if (isOwn && !head.isWrongIncarnation) {
       const {incarnation} = target;
       signals.recordHead({incarnation, head, sentAt: this.sentAt});
-      this.recordTaken?.(!head.isNotRun && head.restMs === undefined);
+      this.recordTaken?.(!head.isNotExecuted && head.restMs === undefined);
     }
     // A head says nothing about progress: it may leave before any work begins.
-    if (head.isOtherIncarnation) {
+    if (head.isWrongIncarnation) {
       board.drop(target.incarnation);
     }
-    if (head.isNotRun || head.isOtherIncarnation) {
+    if (head.isNotExecuted || head.isWrongIncarnation) {
       this.head = head;
       return;
     }
@@ -236,10 +236,12 @@
   /** False for an answer that says that nothing ran. */
   private get isAnswer(): boolean {
     const {head} = this;
-    return head !== undefined && !head.isNotRun && !head.isOtherIncarnation;
+    return (
+      head !== undefined && !head.isNotExecuted && !head.isWrongIncarnation
+    );
   }
 
-  private finish(end: AttemptEnd): void {
+  private finish(end: AttemptOutcome): void {
     if (this.isEnded) {
       return;
     }
--- a/src/gateway/attempt_end.ts
+++ b/src/gateway/attempt_outcome.ts
@@ -1,5 +1,5 @@
 /** How an attempt ended. */
-export interface AttemptEnd {
+export interface AttemptOutcome {
   /**
    * `whole`: the answer is there to its end. `not-run`: it has not run and never
    * will. `broken`: it may have run, and the answer is not whole.
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -1,6 +1,6 @@
 /** What backend servers say of themselves in their answers, beside the answer. */
 import {ThrottledLines} from '../common/throttled_lines';
-import {AnswerHead} from './answer_head';
+import {ResponseHead} from './response_head';
 import {BackendDepartures} from './backend_departures';
 import {BackendLimits} from './backend_limits';
 import {BackendRests} from './backend_rests';
@@ -9,7 +9,7 @@
 interface HeardHead {
   readonly incarnation: string;
   readonly head: Pick<
-    AnswerHead,
+    ResponseHead,
     'limitPerSecond' | 'restMs' | 'isLeaving' | 'isSealed' | 'unread'
   >;
   /** When the request was sent, on the gateway's clock. */
--- a/src/gateway/held_body.ts
+++ b/src/gateway/buffered_body.ts
@@ -2,7 +2,7 @@
 const MAX_HELD_BYTES = 8 * 1024 * 1024;
 
 /** Parts of one answer's body, up to a limit. */
-export class HeldBody {
+export class BufferedBody {
   private readonly chunks: Buffer[] = [];
   private bytes = 0;
 
@@ -14,8 +14,8 @@
    * @example
    * const held = HeldBody.create();
    */
-  static create(): HeldBody {
-    return new HeldBody();
+  static create(): BufferedBody {
+    return new BufferedBody();
   }
 
   /** Keeps one part; false when the body is too large to hold. */
--- a/src/gateway/rules_feed.ts
+++ b/src/gateway/control_poller.ts
@@ -58,7 +58,7 @@
 }
 
 /** Asks control again and again. */
-export class RulesFeed {
+export class ControlPoller {
   private routeIndex: RouteIndex | undefined;
   private targets = new Map<string, GatewayTarget>();
   private tableTag = '';
@@ -78,8 +78,8 @@
    * @example
    * const feed = RulesFeed.create({gatewayId, client, clock, events, confirmationMs, changesWithinMs, collectNews, onTargets, onControl});
    */
-  static create(options: RulesFeedOptions): RulesFeed {
-    return new RulesFeed(options);
+  static create(options: RulesFeedOptions): ControlPoller {
+    return new ControlPoller(options);
   }
 
   /** The rules in force; undefined before the first. */
--- a/src/gateway/create_work_names.ts
+++ b/src/gateway/create_forecast_keys.ts
@@ -21,7 +21,7 @@
  * @example
  * const {work, line} = createWorkNames({route, pool, model: request.model});
  */
-export function createWorkNames(input: WorkNamesInput): WorkNames {
+export function createForecastKeys(input: WorkNamesInput): WorkNames {
   const {route, pool, model = ''} = input;
   return {
     work: `${route.name} ${pool.name}`,
--- a/src/gateway/create_flow_parts.ts
+++ b/src/gateway/create_request_policies.ts
@@ -1,9 +1,9 @@
 import {createStallTimes} from './create_stall_times';
-import {createWorkNames} from './create_work_names';
-import {FlowCourse} from './flow_course';
+import {createForecastKeys} from './create_forecast_keys';
+import {RequestHistory} from './request_history';
 import {PlaceWait} from './place_wait';
 import {RepeatPolicy} from './repeat_policy';
-import {RequestFlowOptions} from './request_flow_options';
+import {ProxiedRequestOptions} from './proxied_request_options';
 import {StallJudge} from './stall_judge';
 
 /**
@@ -12,19 +12,19 @@
  * @example
  * const {policy, wait, stall} = createFlowParts(options);
  */
-export function createFlowParts(options: RequestFlowOptions) {
+export function createRequestPolicies(options: ProxiedRequestOptions) {
   const {request, route, pool, arrivedAt, clock, budget} = options;
   const {board, forecast, dialect, signals} = options;
   const {model, promptTokens} = request;
   const holdMs = Math.min(route.timeoutMs, request.waitMs ?? Infinity);
   const deadlineAt = arrivedAt + holdMs;
-  const names = createWorkNames({route, pool, model});
+  const names = createForecastKeys({route, pool, model});
   const {work} = names;
   const judged = {route, pool, model, promptTokens, work, forecast};
   return {
     deadlineAt,
     names,
-    course: FlowCourse.create(arrivedAt),
+    course: RequestHistory.create(arrivedAt),
     policy: RepeatPolicy.create({route, budget, clock, deadlineAt}),
     stall: StallJudge.create(board, createStallTimes(judged)),
     wait: PlaceWait.create({
@@ -34,8 +34,8 @@
       objectiveMs: route.objectiveMs,
       arrivedAt,
       deadlineAt,
-      honouredPart: dialect.honouredPart,
-      patienceMs: dialect.computePatienceMs(route),
+      honouredPart: dialect.maxRetryAfterFraction,
+      patienceMs: dialect.computeMaxPauseMs(route),
       takeOpening: () =>
         signals.takeOpening(
           board.listIncarnations({
--- a/src/gateway/demand_meter.ts
+++ b/src/gateway/demand_meter.ts
@@ -2,7 +2,7 @@
 import {Clock} from '../common/clock';
 import {EngineProfile} from '../protocol/engine_profile';
 import {ModelDemand} from '../protocol/model_demand';
-import {FlowResult} from './flow_result';
+import {RequestResult} from './request_result';
 import {GatewayRequest} from './gateway_request';
 
 const MS_PER_SECOND = 1_000;
@@ -55,7 +55,7 @@
   recordResult(
     {model}: Pick<GatewayRequest, 'model'>,
     engine: EngineProfile | undefined,
-    {outcome, events}: Pick<FlowResult, 'outcome' | 'events'>,
+    {outcome, events}: Pick<RequestResult, 'outcome' | 'events'>,
   ): void {
     if (!engine || model === undefined || outcome !== 'answered') {
       return;
--- a/src/gateway/final_status.ts
+++ b/src/gateway/error_status.ts
@@ -1,5 +1,5 @@
 /** What callers are told that get no answer of a backend server. */
-export const FINAL_STATUS = {
+export const ERROR_STATUS = {
   /** It has not run and never will. */
   notRun: 503,
   /** It may have run. */
--- a/src/gateway/event_splitter.ts
+++ b/src/gateway/event_stream_splitter.ts
@@ -11,7 +11,7 @@
 }
 
 /** Yields whole events only, so that a break never passes on a part of one. */
-export class EventSplitter {
+export class EventStreamSplitter {
   private pending: Buffer = Buffer.alloc(0);
 
   private constructor() {}
@@ -23,8 +23,8 @@
    * const splitter = EventSplitter.create();
    * for (const event of splitter.split(chunk)) pass(event.bytes);
    */
-  static create(): EventSplitter {
-    return new EventSplitter();
+  static create(): EventStreamSplitter {
+    return new EventStreamSplitter();
   }
 
   /** Bytes of an event that is not whole yet. */
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -14,23 +14,23 @@
 import {readHttpBody} from '../transport/read_http_body';
 import {BackendSignals} from './backend_signals';
 import {BreakWitness} from './break_witness';
-import {CallerAnswer} from './caller_answer';
+import {ResponseWriter} from './response_writer';
 import {Containment} from './containment';
 import {createBackendSignals} from './create_backend_signals';
 import {createSuspectCalls} from './create_suspect_calls';
 import {decideAdmission} from './decide_admission';
 import {DemandMeter} from './demand_meter';
-import {FlowResult} from './flow_result';
-import {GatewayLog} from './gateway_log';
+import {RequestResult} from './request_result';
+import {RequestLog} from './request_log';
 import {GatewayRequest} from './gateway_request';
 import {GatewaySettings} from './gateway_settings';
-import {GatewayStop} from './gateway_stop';
+import {GatewayShutdown} from './gateway_shutdown';
 import {PlaceForecast} from './place_forecast';
 import {PressedModels} from './pressed_models';
 import {RepeatBudget} from './repeat_budget';
-import {RequestFlow} from './request_flow';
+import {ProxiedRequest} from './proxied_request';
 import {RequestIdentity} from './request_identity';
-import {RulesFeed} from './rules_feed';
+import {ControlPoller} from './control_poller';
 import {TargetBoard} from './target_board';
 
 /** Between two looks at requests that wait or stall; well under the pauses that matter. */
@@ -51,10 +51,10 @@
   private readonly clock = systemClock;
   private readonly origins = HttpOrigins.create();
   private readonly board: TargetBoard;
-  private readonly feed: RulesFeed;
-  private readonly log: GatewayLog;
+  private readonly feed: ControlPoller;
+  private readonly log: RequestLog;
   private readonly budgets = new Map<string, RepeatBudget>();
-  private readonly flows = new Set<RequestFlow>();
+  private readonly flows = new Set<ProxiedRequest>();
   private readonly forecast = PlaceForecast.create(systemClock);
   private readonly demand = DemandMeter.create(systemClock);
   private readonly containment: Containment;
@@ -67,24 +67,24 @@
   private listener: HttpListener | undefined;
   private openRequests = 0;
   /** Answers of requests that were admitted, until their last byte has left. */
-  private readonly takenAnswers = new Set<CallerAnswer>();
+  private readonly takenAnswers = new Set<ResponseWriter>();
   private readonly pressed = PressedModels.create(systemClock);
   private readonly signals: BackendSignals;
   /** Connections on which a request came before. */
   private readonly knownConnections = new WeakSet<Socket>();
-  private readonly stop: GatewayStop;
+  private readonly stop: GatewayShutdown;
   private hasServed = false;
 
   private constructor(private readonly settings: GatewaySettings) {
     const {gatewayId, zone, control, stopWithinMs} = settings;
     const {confirmationMs, changesWithinMs} = settings;
     const {clock, events} = this;
-    this.stop = GatewayStop.create({
+    this.stop = GatewayShutdown.create({
       gatewayId,
       clock,
       events,
       withinMs: stopWithinMs,
-      honouredPart: settings.dialect.honouredPart,
+      honouredPart: settings.dialect.maxRetryAfterFraction,
     });
     this.seeds = control;
     this.controlAddresses = control;
@@ -111,7 +111,7 @@
       calls: createSuspectCalls(gatewayId, client),
       onEnded: ended => this.board.recordEnded(ended),
     });
-    this.feed = RulesFeed.create({
+    this.feed = ControlPoller.create({
       gatewayId,
       client,
       // A key that was taken away while this machine was suspended must not be taken.
@@ -147,7 +147,7 @@
         this.controlAddresses = [...new Set([...addresses, ...this.seeds])];
       },
     });
-    this.log = GatewayLog.create(events, this.feed);
+    this.log = RequestLog.create(events, this.feed);
     this.checkedAt = clock.now();
     this.checkTimer = setInterval(() => this.checkFlows(), CHECK_MS);
   }
@@ -234,7 +234,7 @@
   ): Promise<void> {
     const arrivedAt = this.clock.now();
     const {dialect} = this.settings;
-    const answer = CallerAnswer.create(
+    const answer = ResponseWriter.create(
       response,
       dialect.requestIdHeader,
       () => this.stop.hasBegun,
@@ -259,7 +259,7 @@
   private async admit(
     message: IncomingMessage,
     request: GatewayRequest,
-    answer: CallerAnswer,
+    answer: ResponseWriter,
     arrivedAt: number,
   ): Promise<void> {
     const isOnNewConnection = !this.knownConnections.has(message.socket);
@@ -301,8 +301,8 @@
     answer.watchEnd(() => this.takenAnswers.delete(answer));
     this.demand.recordArrival(request, pool.engine);
     const connections = pool.maxConnections / (this.feed.gateways + 1);
-    const flow: {current?: RequestFlow} = {};
-    flow.current = RequestFlow.create({
+    const flow: {current?: ProxiedRequest} = {};
+    flow.current = ProxiedRequest.create({
       request,
       identity: RequestIdentity.create({request, workspace, body}),
       body,
@@ -311,7 +311,7 @@
       workspace,
       maxConnections: Math.max(1, Math.floor(connections)),
       arrivedAt,
-      answer,
+      response: answer,
       origins: this.origins,
       board: this.board,
       budget: this.findBudget(pool.name),
@@ -358,7 +358,7 @@
   private recordResult(
     request: GatewayRequest,
     route: string,
-    result: FlowResult,
+    result: RequestResult,
   ): void {
     const {outcome, tookMs} = result;
     if (outcome === 'answered') {
--- a/src/gateway/gateway_settings.ts
+++ b/src/gateway/gateway_settings.ts
@@ -1,4 +1,4 @@
-import {CallerDialect} from './caller_dialect';
+import {HttpDialect} from './http_dialect';
 
 /** Everything that a gateway is told when it starts. */
 export interface GatewaySettings {
@@ -9,7 +9,7 @@
   readonly port: number;
   /** Where control processes may be found at first. */
   readonly control: readonly string[];
-  readonly dialect: CallerDialect;
+  readonly dialect: HttpDialect;
   /** How long a confirmation by control lets requests through, in milliseconds. */
   readonly confirmationMs: number;
   /** Within which a change of rules is in force everywhere, in milliseconds: what a refusal for good may be based on. */
--- a/src/gateway/gateway_stop.ts
+++ b/src/gateway/gateway_shutdown.ts
@@ -30,7 +30,7 @@
 }
 
 /** Knows whether a gateway stops, and carries the stop out. */
-export class GatewayStop {
+export class GatewayShutdown {
   private readonly schedule: StopSchedule;
   private readonly longest: LongestTimes;
   /** How long this process took from its start until it listened, in milliseconds. */
@@ -50,8 +50,8 @@
    * @example
    * const stop = GatewayStop.create({gatewayId, clock, events, withinMs: 8000, honouredPart: 1 / 3});
    */
-  static create(options: GatewayStopOptions): GatewayStop {
-    return new GatewayStop(options);
+  static create(options: GatewayStopOptions): GatewayShutdown {
+    return new GatewayShutdown(options);
   }
 
   get hasBegun(): boolean {
--- a/src/gateway/caller_dialect.ts
+++ b/src/gateway/http_dialect.ts
@@ -1,6 +1,6 @@
 import {IncomingMessage} from 'node:http';
 import {GatewayRules} from '../protocol/gateway_rules';
-import {AnswerHead} from './answer_head';
+import {ResponseHead} from './response_head';
 import {GatewayRequest} from './gateway_request';
 
 /** What a dispatch adds to a caller's request. */
@@ -15,7 +15,7 @@
 }
 
 /** The header names of callers and backend servers; an adapter provides them. */
-export interface CallerDialect {
+export interface HttpDialect {
   /** Reads the headers of a request; the text says what is wrong. */
   readonly readRequest: (message: IncomingMessage) => GatewayRequest | string;
   /** Headers to a backend server, names and values in turn. */
@@ -23,19 +23,19 @@
     request: GatewayRequest,
     marks: DispatchMarks,
   ) => string[];
-  readonly readAnswer: (
+  readonly readResponseHead: (
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
-  ) => AnswerHead;
+  ) => ResponseHead;
   /** How long a caller bears a pause before it leaves a stream, in milliseconds. */
-  readonly computePatienceMs: (
+  readonly computeMaxPauseMs: (
     route: Pick<
       GatewayRules['routes'][number],
       'objectiveMs' | 'pauseObjectiveMs'
     >,
   ) => number;
   /** Part of what is left of its time within which a caller comes back as it is told. */
-  readonly honouredPart: number;
+  readonly maxRetryAfterFraction: number;
   /** The header with which an own answer names its request. */
   readonly requestIdHeader: string;
 }
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/proxied_request.ts
@@ -1,17 +1,17 @@
 /** Carries one request through: attempts, repeats, resumed streams, its final answer. */
-import {AnswerHead} from './answer_head';
-import {AnswerRelay} from './answer_relay';
+import {ResponseHead} from './response_head';
+import {ResponseRelay} from './response_relay';
 import {Attempt} from './attempt';
-import {AttemptEnd} from './attempt_end';
-import {createFlowParts} from './create_flow_parts';
-import {FINAL_STATUS} from './final_status';
-import {FlowCourse} from './flow_course';
-import {FlowResult} from './flow_result';
-import {FlowSender} from './flow_sender';
+import {AttemptOutcome} from './attempt_outcome';
+import {createRequestPolicies} from './create_request_policies';
+import {ERROR_STATUS} from './error_status';
+import {RequestHistory} from './request_history';
+import {RequestResult} from './request_result';
+import {RequestSender} from './request_sender';
 import {PlaceWait} from './place_wait';
 import {RepeatPolicy} from './repeat_policy';
-import {RequestFlowOptions} from './request_flow_options';
-import {sendFinalAnswer} from './send_final_answer';
+import {ProxiedRequestOptions} from './proxied_request_options';
+import {sendErrorResponse} from './send_error_response';
 import {StallJudge} from './stall_judge';
 import {SuspectTrial} from './suspect_trial';
 
@@ -20,24 +20,24 @@
   'backend servers end when they begin this request: it is not sent again';
 
 /** One request under way. */
-export class RequestFlow {
-  private readonly sender: FlowSender;
-  private readonly relay: AnswerRelay;
-  private readonly course: FlowCourse;
+export class ProxiedRequest {
+  private readonly sender: RequestSender;
+  private readonly relay: ResponseRelay;
+  private readonly course: RequestHistory;
   private readonly policy: RepeatPolicy;
   private readonly trial: SuspectTrial;
   private readonly deadlineAt: number;
   private readonly timer: NodeJS.Timeout;
   private readonly stall: StallJudge;
   private readonly wait: PlaceWait;
-  private readonly names: ReturnType<typeof createFlowParts>['names'];
+  private readonly names: ReturnType<typeof createRequestPolicies>['names'];
   private isDone = false;
   /** It is being found out whether its backend server has ended. */
   private isInDoubt = false;
 
-  private constructor(private readonly options: RequestFlowOptions) {
-    const {request, clock, answer} = options;
-    const parts = createFlowParts(options);
+  private constructor(private readonly options: ProxiedRequestOptions) {
+    const {request, clock, response: answer} = options;
+    const parts = createRequestPolicies(options);
     this.deadlineAt = parts.deadlineAt;
     this.course = parts.course;
     this.policy = parts.policy;
@@ -45,12 +45,12 @@
     this.stall = parts.stall;
     this.wait = parts.wait;
     this.trial = SuspectTrial.create(options);
-    this.relay = AnswerRelay.create({
+    this.relay = ResponseRelay.create({
       answer,
       lastEventId: request.lastEventId,
       onPassed: hasRoom => this.recordPassed(hasRoom),
     });
-    this.sender = FlowSender.create({
+    this.sender = RequestSender.create({
       ...parts,
       flow: options,
       readLastEventId: () => this.relay.lastEventId,
@@ -66,7 +66,7 @@
     });
     this.timer = setTimeout(
       () =>
-        this.abandon('the time for the request is over', FINAL_STATUS.timedOut),
+        this.abandon('the time for the request is over', ERROR_STATUS.timedOut),
       Math.max(0, this.deadlineAt - clock.now()),
     );
     answer.watchGone(() => this.leave());
@@ -78,8 +78,8 @@
    * @example
    * const flow = RequestFlow.create(options);
    */
-  static create(options: RequestFlowOptions): RequestFlow {
-    const flow = new RequestFlow(options);
+  static create(options: ProxiedRequestOptions): ProxiedRequest {
+    const flow = new ProxiedRequest(options);
     options.budget.recordRequest();
     flow.sendOn('no backend server can take it now');
     return flow;
@@ -97,7 +97,7 @@
     const hasBegun = attempt?.hasStarted ?? false;
     const standing = hasBegun ? 'free' : containment.find(identity);
     if (standing === 'convicted') {
-      this.abandon(CONVICTED, FINAL_STATUS.cannotBeRun);
+      this.abandon(CONVICTED, ERROR_STATUS.cannotBeRun);
     } else if (this.trial.isUnderWay) {
       this.checkTrial(now);
     } else if (this.wait.isUnderWay && standing === 'suspected') {
@@ -212,7 +212,7 @@
     this.sendOn('no backend server can take it now');
   }
 
-  private handleHead(head: AnswerHead): void {
+  private handleHead(head: ResponseHead): void {
     const wrong = this.relay.acceptHead(head);
     if (wrong) {
       this.sender.attempt?.stop(wrong);
@@ -228,7 +228,7 @@
   }
 
   private recordPassed(hasRoom: boolean): void {
-    const {answer, clock} = this.options;
+    const {response: answer, clock} = this.options;
     const {attempt} = this.sender;
     this.course.recordEvent(clock.now());
     if (!hasRoom && attempt) {
@@ -237,7 +237,7 @@
     }
   }
 
-  private handleEnd(end: AttemptEnd): void {
+  private handleEnd(end: AttemptOutcome): void {
     const {attempt} = this.sender;
     this.sender.attempt = undefined;
     this.trial.end();
@@ -251,7 +251,7 @@
     }
   }
 
-  private handleOutcome(end: AttemptEnd): void {
+  private handleOutcome(end: AttemptOutcome): void {
     const {policy} = this;
     if (end.kind === 'not-run') {
       policy.recordRefusal();
@@ -335,13 +335,13 @@
     const {attempt} = this.sender;
     const isSent = attempt !== undefined && !attempt.isWaiting;
     const mayHaveRun = this.policy.hasRun || isSent || this.isInDoubt;
-    return mayHaveRun ? FINAL_STATUS.failed : FINAL_STATUS.notRun;
+    return mayHaveRun ? ERROR_STATUS.failed : ERROR_STATUS.notRun;
   }
 
   private sendFinal(reason: string, status: number): void {
-    const {answer, request} = this.options;
+    const {response: answer, request} = this.options;
     const told = {requestId: request.id, reason, status, wait: this.wait};
-    const end = sendFinalAnswer({answer, ...told});
+    const end = sendErrorResponse({answer, ...told});
     this.tell(end.outcome, reason, end.status);
   }
 
@@ -368,7 +368,7 @@
   }
 
   private tell(
-    outcome: FlowResult['outcome'],
+    outcome: RequestResult['outcome'],
     reason: string,
     status: number,
   ): void {
--- a/src/gateway/request_flow_options.ts
+++ b/src/gateway/proxied_request_options.ts
@@ -3,10 +3,10 @@
 import {GatewayRules} from '../protocol/gateway_rules';
 import {HttpOrigins} from '../transport/http_origins';
 import {BackendSignals} from './backend_signals';
-import {CallerAnswer} from './caller_answer';
-import {CallerDialect} from './caller_dialect';
+import {ResponseWriter} from './response_writer';
+import {HttpDialect} from './http_dialect';
 import {Containment} from './containment';
-import {FlowResult} from './flow_result';
+import {RequestResult} from './request_result';
 import {GatewayRequest} from './gateway_request';
 import {PlaceForecast} from './place_forecast';
 import {RepeatBudget} from './repeat_budget';
@@ -14,7 +14,7 @@
 import {TargetBoard} from './target_board';
 
 /** What a flow needs. */
-export interface RequestFlowOptions {
+export interface ProxiedRequestOptions {
   readonly request: GatewayRequest;
   readonly identity: RequestIdentity;
   readonly body: Buffer;
@@ -25,15 +25,15 @@
   readonly maxConnections: number;
   /** On this process's monotonic clock. */
   readonly arrivedAt: number;
-  readonly answer: CallerAnswer;
+  readonly response: ResponseWriter;
   readonly origins: HttpOrigins;
   readonly board: TargetBoard;
   readonly budget: RepeatBudget;
   readonly forecast: PlaceForecast;
   readonly containment: Containment;
   readonly signals: BackendSignals;
-  readonly dialect: CallerDialect;
+  readonly dialect: HttpDialect;
   readonly clock: Clock;
   /** Told once, when the caller has its final answer or is gone. */
-  readonly onDone: (result: FlowResult) => void;
+  readonly onDone: (result: RequestResult) => void;
 }
--- a/src/gateway/flow_course.ts
+++ b/src/gateway/request_history.ts
@@ -1,5 +1,5 @@
 /** What happened to one request on its way, for the log. */
-export class FlowCourse {
+export class RequestHistory {
   private readonly tried: string[] = [];
   private eventCount = 0;
   private firstEventAt: number | undefined;
@@ -20,8 +20,8 @@
    * @example
    * const course = FlowCourse.create(clock.now());
    */
-  static create(arrivedAt: number): FlowCourse {
-    return new FlowCourse(arrivedAt);
+  static create(arrivedAt: number): RequestHistory {
+    return new RequestHistory(arrivedAt);
   }
 
   /** It was sent somewhere at least once. */
--- a/src/gateway/gateway_log.ts
+++ b/src/gateway/request_log.ts
@@ -1,18 +1,18 @@
 /** The lines that a gateway writes about requests: what decided each one, with its inputs. */
 import {EventRing} from '../common/event_ring';
-import {FlowResult} from './flow_result';
+import {RequestResult} from './request_result';
 import {GatewayRequest} from './gateway_request';
 import {Refusal} from './refusal';
-import {RulesFeed} from './rules_feed';
+import {ControlPoller} from './control_poller';
 
 /** An age that stands for "never", where a line needs a number. */
 const NEVER_MS = 1e9;
 
 /** Writes one line for each request. */
-export class GatewayLog {
+export class RequestLog {
   private constructor(
     private readonly events: EventRing,
-    private readonly feed: Pick<RulesFeed, 'index' | 'ageMs'>,
+    private readonly feed: Pick<ControlPoller, 'index' | 'ageMs'>,
   ) {}
 
   /**
@@ -23,9 +23,9 @@
    */
   static create(
     events: EventRing,
-    feed: Pick<RulesFeed, 'index' | 'ageMs'>,
-  ): GatewayLog {
-    return new GatewayLog(events, feed);
+    feed: Pick<ControlPoller, 'index' | 'ageMs'>,
+  ): RequestLog {
+    return new RequestLog(events, feed);
   }
 
   /** A request that was refused before it had a route and a place. */
@@ -47,7 +47,7 @@
   recordResult(
     request: GatewayRequest,
     route: string,
-    result: FlowResult,
+    result: RequestResult,
   ): void {
     const {outcome, reason, targets, identity = '', ...figures} = result;
     this.events.record({
--- a/src/gateway/flow_result.ts
+++ b/src/gateway/request_result.ts
@@ -1,5 +1,5 @@
 /** What became of a request, for the log. */
-export interface FlowResult {
+export interface RequestResult {
   readonly outcome: 'answered' | 'refused' | 'failed' | 'gone' | 'contained';
   readonly reason: string;
   /** 0 when no status could be told any more. */
--- a/src/gateway/flow_sender.ts
+++ b/src/gateway/request_sender.ts
@@ -2,8 +2,8 @@
 import {GatewayTarget} from '../protocol/gateway_target';
 import {Attempt} from './attempt';
 import {createTargetKey} from './create_target_key';
-import {FlowCourse} from './flow_course';
-import {RequestFlowOptions} from './request_flow_options';
+import {RequestHistory} from './request_history';
+import {ProxiedRequestOptions} from './proxied_request_options';
 import {SendPermit} from './send_permit';
 
 type AttemptHooks = Pick<
@@ -13,8 +13,8 @@
 
 /** What sending takes beside the request itself. */
 interface FlowSenderOptions extends AttemptHooks {
-  readonly flow: RequestFlowOptions;
-  readonly course: FlowCourse;
+  readonly flow: ProxiedRequestOptions;
+  readonly course: RequestHistory;
   /** When the caller gives up, on the gateway's clock. */
   readonly deadlineAt: number;
   readonly readLastEventId: () => string | undefined;
@@ -26,7 +26,7 @@
 }
 
 /** Knows where a request was sent and where it is. */
-export class FlowSender {
+export class RequestSender {
   /** Where it is now. */
   attempt: Attempt | undefined;
   private readonly tried = new Set<string>();
@@ -40,8 +40,8 @@
    * @example
    * const sender = FlowSender.create({flow, course, deadlineAt, readLastEventId, maySend, onSending, onDenied, onHead, onData, onEnd});
    */
-  static create(options: FlowSenderOptions): FlowSender {
-    return new FlowSender(options);
+  static create(options: FlowSenderOptions): RequestSender {
+    return new RequestSender(options);
   }
 
   /** It waits for the leader's word on whether it may be sent. */
--- a/src/gateway/answer_head.ts
+++ b/src/gateway/response_head.ts
@@ -1,5 +1,5 @@
 /** The head of a backend server's answer. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   /** Headers for the caller, by lower-case name. */
   readonly headers: Readonly<Record<string, string>>;
@@ -8,14 +8,14 @@
   /** The backend server vouches for this answer. */
   readonly isSealed: boolean;
   /** The backend server says that the request has not run. */
-  readonly isNotRun: boolean;
+  readonly isNotExecuted: boolean;
   /** The address is another start of a backend server now. */
-  readonly isOtherIncarnation: boolean;
+  readonly isWrongIncarnation: boolean;
   /**
    * The answer says where it ends. Without it only the end of the connection
    * does, which a crash ends as well.
    */
-  readonly isFramed: boolean;
+  readonly isSelfDelimited: boolean;
   /** The body is a series of events. */
   readonly isEventStream: boolean;
   /** Requests a second that the backend server takes from all gateways together. */
--- a/src/gateway/answer_relay.ts
+++ b/src/gateway/response_relay.ts
@@ -1,12 +1,12 @@
 /** Passes on what backend servers answer: streams event by event, everything else as a whole. */
-import {AnswerHead} from './answer_head';
-import {CallerAnswer} from './caller_answer';
-import {EventSplitter} from './event_splitter';
-import {HeldBody} from './held_body';
+import {ResponseHead} from './response_head';
+import {ResponseWriter} from './response_writer';
+import {EventStreamSplitter} from './event_stream_splitter';
+import {BufferedBody} from './buffered_body';
 
 /** What a relay works with. */
 interface AnswerRelayOptions {
-  readonly answer: CallerAnswer;
+  readonly answer: ResponseWriter;
   /** The last event that the caller had before. */
   readonly lastEventId: string | undefined;
   /** Told of each event that was passed on; false when the caller does not keep up. */
@@ -14,10 +14,10 @@
 }
 
 /** One answer, made from what one or several runs bring. */
-export class AnswerRelay {
-  private firstHead: AnswerHead | undefined;
-  private splitter = EventSplitter.create();
-  private held = HeldBody.create();
+export class ResponseRelay {
+  private firstHead: ResponseHead | undefined;
+  private splitter = EventStreamSplitter.create();
+  private held = BufferedBody.create();
   private newestEventId: string | undefined;
 
   private constructor(private readonly options: AnswerRelayOptions) {
@@ -30,12 +30,12 @@
    * @example
    * const relay = AnswerRelay.create({answer, lastEventId, onPassed});
    */
-  static create(options: AnswerRelayOptions): AnswerRelay {
-    return new AnswerRelay(options);
+  static create(options: AnswerRelayOptions): ResponseRelay {
+    return new ResponseRelay(options);
   }
 
   /** The head that the caller gets. */
-  get head(): AnswerHead | undefined {
+  get head(): ResponseHead | undefined {
     return this.firstHead;
   }
 
@@ -51,14 +51,14 @@
 
   /** Drops what a run left unfinished: another one begins. */
   reset(): void {
-    this.splitter = EventSplitter.create();
-    this.held = HeldBody.create();
+    this.splitter = EventStreamSplitter.create();
+    this.held = BufferedBody.create();
   }
 
   /** Takes the head of a run; tells why it does not fit what the caller has. */
-  acceptHead(head: AnswerHead): string | undefined {
+  acceptHead(head: ResponseHead): string | undefined {
     const {answer} = this.options;
-    if (answer.hasBegun && !(head.isEventStream && head.isFramed)) {
+    if (answer.hasBegun && !(head.isEventStream && head.isSelfDelimited)) {
       return `status ${head.status} in place of the rest`;
     }
     // A resumed stream keeps the head of its first backend server.
@@ -80,7 +80,7 @@
   }
 
   /** Ends a stream that is whole. */
-  endStream(head: AnswerHead): void {
+  endStream(head: ResponseHead): void {
     const {answer} = this.options;
     if (!answer.hasBegun) {
       answer.begin(head);
@@ -89,7 +89,7 @@
   }
 
   /** Sends an answer that was held until it was whole. */
-  sendHeld(head: AnswerHead): void {
+  sendHeld(head: ResponseHead): void {
     this.options.answer.sendWhole(head, this.held.copyWhole());
   }
 
--- a/src/gateway/caller_answer.ts
+++ b/src/gateway/response_writer.ts
@@ -1,6 +1,6 @@
 /** Writes one answer to one caller: a backend server's own, or a refusal. */
 import {ServerResponse} from 'node:http';
-import {AnswerHead} from './answer_head';
+import {ResponseHead} from './response_head';
 
 const MS_PER_SECOND = 1_000;
 
@@ -13,7 +13,7 @@
 }
 
 /** Everything that leaves on one response. */
-export class CallerAnswer {
+export class ResponseWriter {
   private onRoom: (() => void) | undefined;
   private isUnframed = false;
 
@@ -34,8 +34,8 @@
     response: ServerResponse,
     requestIdHeader: string,
     isLeaving: () => boolean,
-  ): CallerAnswer {
-    return new CallerAnswer(response, requestIdHeader, isLeaving);
+  ): ResponseWriter {
+    return new ResponseWriter(response, requestIdHeader, isLeaving);
   }
 
   /** The head has left: the status cannot change any more. */
@@ -58,7 +58,7 @@
   }
 
   /** Sends the head of a stream. */
-  begin(head: AnswerHead): void {
+  begin(head: ResponseHead): void {
     this.prepareConnection();
     this.leaveUnframed(head);
     this.response.writeHead(head.status, head.headers);
@@ -87,11 +87,11 @@
   }
 
   /** Sends a whole answer of a backend server. */
-  sendWhole(head: AnswerHead, body: Buffer): void {
+  sendWhole(head: ResponseHead, body: Buffer): void {
     this.prepareConnection();
     this.leaveUnframed(head);
     const length = {'content-length': String(body.length)};
-    const added = head.isFramed ? length : {};
+    const added = head.isSelfDelimited ? length : {};
     this.response.writeHead(head.status, {...head.headers, ...added});
     this.response.end(body);
   }
@@ -134,8 +134,8 @@
   }
 
   /** What may not be whole is not given an end that says that it is. */
-  private leaveUnframed(head: AnswerHead): void {
-    if (!head.isFramed) {
+  private leaveUnframed(head: ResponseHead): void {
+    if (!head.isSelfDelimited) {
       this.isUnframed = true;
       this.response.useChunkedEncodingByDefault = false;
       this.response.shouldKeepAlive = false;
--- a/src/gateway/send_final_answer.ts
+++ b/src/gateway/send_error_response.ts
@@ -1,11 +1,11 @@
-import {CallerAnswer} from './caller_answer';
-import {FINAL_STATUS} from './final_status';
-import {FlowResult} from './flow_result';
+import {ResponseWriter} from './response_writer';
+import {ERROR_STATUS} from './error_status';
+import {RequestResult} from './request_result';
 import {PlaceWait} from './place_wait';
 
 /** What a caller is told that gets no answer of a backend server. */
 interface FinalAnswer {
-  readonly answer: CallerAnswer;
+  readonly answer: ResponseWriter;
   readonly requestId: string;
   readonly reason: string;
   /** Told where the answer has not begun; 503 only for what has not run. */
@@ -22,16 +22,16 @@
  * @example
  * const {outcome, status} = sendFinalAnswer({answer, requestId, reason, status: 502, wait});
  */
-export function sendFinalAnswer(
+export function sendErrorResponse(
   final: FinalAnswer,
-): Pick<FlowResult, 'outcome' | 'status'> {
+): Pick<RequestResult, 'outcome' | 'status'> {
   const {answer, requestId, reason, status, wait} = final;
   if (answer.hasBegun) {
     answer.breakOff();
     return {outcome: 'failed', status: 0};
   }
-  const isNotRun = status === FINAL_STATUS.notRun;
-  const isContained = status === FINAL_STATUS.cannotBeRun;
+  const isNotRun = status === ERROR_STATUS.notRun;
+  const isContained = status === ERROR_STATUS.cannotBeRun;
   const retryAfterMs = isNotRun ? wait.computeReturnMs() : undefined;
   answer.sendOwn({status, reason, retryAfterMs}, requestId);
   const outcome = isNotRun ? 'refused' : isContained ? 'contained' : 'failed';
--- a/test/gateway/decisions.test.ts
+++ b/test/gateway/decisions.test.ts
@@ -3,7 +3,7 @@
 import {Attempt} from '../../src/gateway/attempt';
 import {choosePool} from '../../src/gateway/choose_pool';
 import {computeStallMs} from '../../src/gateway/compute_stall_ms';
-import {EventSplitter} from '../../src/gateway/event_splitter';
+import {EventStreamSplitter} from '../../src/gateway/event_stream_splitter';
 import {PlaceForecast} from '../../src/gateway/place_forecast';
 import {RepeatBudget} from '../../src/gateway/repeat_budget';
 import {RouteIndex} from '../../src/gateway/route_index';
@@ -231,7 +231,7 @@
 
 describe('events of a stream', () => {
   test('are passed on whole, however they arrive', () => {
-    const splitter = EventSplitter.create();
+    const splitter = EventStreamSplitter.create();
     expect(splitter.split(Buffer.from('id: 1\nda'))).toEqual([]);
     const events = splitter.split(Buffer.from('ta: x\n\nid: 2\n\nid: 3\n'));
     expect(events.map(event => event.bytes.toString())).toEqual([
@@ -243,7 +243,7 @@
   });
 
   test('may have other lines before their id', () => {
-    const [event] = EventSplitter.create().split(
+    const [event] = EventStreamSplitter.create().split(
       Buffer.from('weights: 3\nid: 9\ndata: id: 4\n\n'),
     );
     expect(event.id).toBe('9');
--- a/test/gateway/gateway_stop.test.ts
+++ b/test/gateway/gateway_shutdown.test.ts
@@ -1,13 +1,13 @@
 import {describe, expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {GatewayStop} from '../../src/gateway/gateway_stop';
+import {GatewayShutdown} from '../../src/gateway/gateway_shutdown';
 
 const ROUTE = {name: 'r', objectiveMs: 300};
 
 function create(withinMs = 8_000) {
   const clock = {time: 0, now: () => clock.time};
   const events = EventRing.create();
-  const stop = GatewayStop.create({
+  const stop = GatewayShutdown.create({
     gatewayId: 'g',
     clock,
     events,
--- a/test/platform/translation.test.ts
+++ b/test/platform/translation.test.ts
@@ -203,7 +203,7 @@
   });
 
   test('of an answer tell what it is worth', () => {
-    const head = callerHeaders.readAnswer(503, {
+    const head = callerHeaders.readResponseHead(503, {
       'x-whinreel-not-executed': '1',
       'x-whinreel-request-id': 'q',
       'content-length': '0',
@@ -214,7 +214,9 @@
       isSealed: false,
       isFramed: true,
     });
-    expect(callerHeaders.readAnswer(421, {}).isOtherIncarnation).toBe(true);
+    expect(callerHeaders.readResponseHead(421, {}).isWrongIncarnation).toBe(
+      true,
+    );
   });
 
   test.each([
@@ -227,7 +229,7 @@
     ['soon', undefined],
     ['9999999999999', undefined],
   ])('of an answer tell a limit of %s', (text, perSecond) => {
-    const head = callerHeaders.readAnswer(200, {'server-limit': text});
+    const head = callerHeaders.readResponseHead(200, {'server-limit': text});
     expect(head.limitPerSecond).toBe(perSecond);
     const isUnread = perSecond === undefined;
     expect(head.unread).toBe(isUnread ? `server-limit: ${text}` : undefined);
@@ -241,7 +243,7 @@
     [429, '3', undefined],
     [200, '3', undefined],
   ])('of an answer with %d ask for rest of %s s', (status, text, restMs) => {
-    const head = callerHeaders.readAnswer(status, {'retry-after': text});
+    const head = callerHeaders.readResponseHead(status, {'retry-after': text});
     expect(head.restMs).toBe(restMs);
   });
 
@@ -250,7 +252,7 @@
     ['0', false],
     ['yes', false],
   ])('of an answer that say %s of leaving', (text, isLeaving) => {
-    const head = callerHeaders.readAnswer(200, {'server-leaving': text});
+    const head = callerHeaders.readResponseHead(200, {'server-leaving': text});
     expect(head.isLeaving).toBe(isLeaving);
   });
 });
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -5,12 +5,12 @@
 import {EventRing} from '../../src/common/event_ring';
 import {BackendSignals} from '../../src/gateway/backend_signals';
 import {BreakWitness} from '../../src/gateway/break_witness';
-import {CallerAnswer} from '../../src/gateway/caller_answer';
+import {ResponseWriter} from '../../src/gateway/response_writer';
 import {Containment} from '../../src/gateway/containment';
-import {FlowResult} from '../../src/gateway/flow_result';
+import {RequestResult} from '../../src/gateway/request_result';
 import {PlaceForecast} from '../../src/gateway/place_forecast';
 import {RepeatBudget} from '../../src/gateway/repeat_budget';
-import {RequestFlow} from '../../src/gateway/request_flow';
+import {ProxiedRequest} from '../../src/gateway/proxied_request';
 import {RequestIdentity} from '../../src/gateway/request_identity';
 import {TargetBoard} from '../../src/gateway/target_board';
 import {GatewayRules} from '../../src/protocol/gateway_rules';
@@ -50,7 +50,7 @@
 
 /** A small gateway of one route. */
 export class FlowFixture {
-  readonly results: FlowResult[] = [];
+  readonly results: RequestResult[] = [];
   /** What the board was told at first. */
   targets: Array<[string, GatewayTarget]> = [];
   readonly forecast = PlaceForecast.create(systemClock);
@@ -83,7 +83,7 @@
     onEnded: () => undefined,
   });
   private readonly origins = HttpOrigins.create();
-  private readonly flows = new Set<RequestFlow>();
+  private readonly flows = new Set<ProxiedRequest>();
   private readonly timer: NodeJS.Timeout;
 
   private constructor(
@@ -179,7 +179,7 @@
         throw new Error(request);
       }
       const body = Buffer.concat(chunks);
-      const flow = RequestFlow.create({
+      const flow = ProxiedRequest.create({
         request: {...request, model: this.model},
         identity: RequestIdentity.create({request, body}),
         containment: this.containment,
@@ -193,7 +193,7 @@
         },
         maxConnections: 4,
         arrivedAt,
-        answer: CallerAnswer.create(response, 'request-id', () => false),
+        response: ResponseWriter.create(response, 'request-id', () => false),
         origins: this.origins,
         board: this.board,
         budget: RepeatBudget.create(
--- a/test/support/plain_dialect.ts
+++ b/test/support/plain_dialect.ts
@@ -1,9 +1,9 @@
 /** Header names of nobody in particular, for tests of the gateway. */
-import {CallerDialect} from '../../src/gateway/caller_dialect';
+import {HttpDialect} from '../../src/gateway/http_dialect';
 
-export const plainDialect: CallerDialect = {
+export const plainDialect: HttpDialect = {
   requestIdHeader: 'request-id',
-  honouredPart: 1 / 3,
+  maxRetryAfterFraction: 1 / 3,
 
   readRequest(message) {
     const {headers} = message;
@@ -37,9 +37,9 @@
     return headers;
   },
 
-  computePatienceMs: () => 2_000,
+  computeMaxPauseMs: () => 2_000,
 
-  readAnswer(status, raw) {
+  readResponseHead(status, raw) {
     const headers = Object.fromEntries(
       Object.entries(raw).flatMap(([name, value]) =>
         value === undefined || name === 'transfer-encoding'
@@ -59,9 +59,9 @@
           ? undefined
           : Number(headers['rest-ms']),
       isLeaving: 'leaving' in headers,
-      isNotRun: 'not-run' in headers,
-      isOtherIncarnation: status === 421,
-      isFramed: 'content-length' in raw || 'transfer-encoding' in raw,
+      isNotExecuted: 'not-run' in headers,
+      isWrongIncarnation: status === 421,
+      isSelfDelimited: 'content-length' in raw || 'transfer-encoding' in raw,
       isEventStream: headers['content-type'] === 'text/event-stream',
     };
   },
