--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -164,17 +164,17 @@
     if (this.isEnded) {
       return;
     }
-    const isOwn = head.isNotExecuted || head.requestId === request.id;
+    const isOwn = head.isNotRun || head.requestId === request.id;
     if (isOwn && !head.isWrongIncarnation) {
       const {incarnation} = target;
       signals.recordHead({incarnation, head, sentAt: this.sentAt});
-      this.recordTaken?.(!head.isNotExecuted && head.restMs === undefined);
+      this.recordTaken?.(!head.isNotRun && head.restMs === undefined);
     }
     // A head says nothing about progress: it may leave before any work begins.
     if (head.isWrongIncarnation) {
       board.drop(target.incarnation);
     }
-    if (head.isNotExecuted || head.isWrongIncarnation) {
+    if (head.isNotRun || head.isWrongIncarnation) {
       this.head = head;
       return;
     }
@@ -236,9 +236,7 @@
   /** False for an answer that says that nothing ran. */
   private get isAnswer(): boolean {
     const {head} = this;
-    return (
-      head !== undefined && !head.isNotExecuted && !head.isWrongIncarnation
-    );
+    return head !== undefined && !head.isNotRun && !head.isWrongIncarnation;
   }
 
   private finish(end: AttemptOutcome): void {
--- a/src/gateway/response_head.ts
+++ b/src/gateway/response_head.ts
@@ -8,14 +8,14 @@
   /** The backend server vouches for this answer. */
   readonly isSealed: boolean;
   /** The backend server says that the request has not run. */
-  readonly isNotExecuted: boolean;
+  readonly isNotRun: boolean;
   /** The address is another start of a backend server now. */
   readonly isWrongIncarnation: boolean;
   /**
    * The answer says where it ends. Without it only the end of the connection
    * does, which a crash ends as well.
    */
-  readonly isSelfDelimited: boolean;
+  readonly isFramed: boolean;
   /** The body is a series of events. */
   readonly isEventStream: boolean;
   /** Requests a second that the backend server takes from all gateways together. */
--- a/src/gateway/response_relay.ts
+++ b/src/gateway/response_relay.ts
@@ -58,7 +58,7 @@
   /** Takes the head of a run; tells why it does not fit what the caller has. */
   acceptHead(head: ResponseHead): string | undefined {
     const {answer} = this.options;
-    if (answer.hasBegun && !(head.isEventStream && head.isSelfDelimited)) {
+    if (answer.hasBegun && !(head.isEventStream && head.isFramed)) {
       return `status ${head.status} in place of the rest`;
     }
     // A resumed stream keeps the head of its first backend server.
--- a/src/gateway/response_writer.ts
+++ b/src/gateway/response_writer.ts
@@ -91,7 +91,7 @@
     this.prepareConnection();
     this.leaveUnframed(head);
     const length = {'content-length': String(body.length)};
-    const added = head.isSelfDelimited ? length : {};
+    const added = head.isFramed ? length : {};
     this.response.writeHead(head.status, {...head.headers, ...added});
     this.response.end(body);
   }
@@ -135,7 +135,7 @@
 
   /** What may not be whole is not given an end that says that it is. */
   private leaveUnframed(head: ResponseHead): void {
-    if (!head.isSelfDelimited) {
+    if (!head.isFramed) {
       this.isUnframed = true;
       this.response.useChunkedEncodingByDefault = false;
       this.response.shouldKeepAlive = false;
--- a/test/support/plain_dialect.ts
+++ b/test/support/plain_dialect.ts
@@ -59,9 +59,9 @@
           ? undefined
           : Number(headers['rest-ms']),
       isLeaving: 'leaving' in headers,
-      isNotExecuted: 'not-run' in headers,
+      isNotRun: 'not-run' in headers,
       isWrongIncarnation: status === 421,
-      isSelfDelimited: 'content-length' in raw || 'transfer-encoding' in raw,
+      isFramed: 'content-length' in raw || 'transfer-encoding' in raw,
       isEventStream: headers['content-type'] === 'text/event-stream',
     };
   },
