--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,4 +1,4 @@
-/** One dispatch of a request to one backend server, and the meaning of each way it can end. */
+/** Sends a request to one backend server once, and classifies each way in which that can end. */
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
 import {HttpOrigins} from '../transport/http_origins';
@@ -10,12 +10,11 @@
 import {SendPermit} from './send_permit';
 import {TargetBoard} from './target_board';
 
-/** What an attempt needs. */
 interface AttemptOptions {
   readonly request: GatewayRequest;
   readonly body: Buffer;
   readonly target: GatewayTarget;
-  /** Where the target has a limit. */
+  /** Set if the target has a rate limit. */
   readonly permit?: SendPermit;
   readonly workspace?: string;
   readonly remainingMs: number;
@@ -26,34 +25,34 @@
   readonly signals: BackendSignals;
   readonly dialect: HttpDialect;
   readonly clock: Clock;
-  /** The head of an answer that is the backend server's own. */
+  /** Called with the head of a valid response to this request. */
   readonly onHead: (head: ResponseHead) => void;
   readonly onData: (chunk: Buffer) => void;
-  /** Told once, as the last thing. */
+  /** Called once, as the last callback. */
   readonly onEnd: (end: AttemptOutcome) => void;
 }
 
-/** An attempt under way. */
+/** One attempt to execute a request. */
 export class Attempt {
-  /** When it was sent or bytes last came, whichever is newer. */
+  /** When the attempt was created, the body last received data or reading was resumed, whichever is newest. */
   quietSince: number;
   private handle: ReturnType<HttpOrigins['call']> | undefined;
   private head: ResponseHead | undefined;
-  private hasBytes = false;
+  private hasBodyData = false;
   private isSent = false;
   private sentAt = -Infinity;
   private isEnded = false;
-  private readonly recordTaken: ReturnType<BackendSignals['begin']>;
-  private isHeldBack = false;
+  private readonly recordAccepted: ReturnType<BackendSignals['begin']>;
+  private isReadPaused = false;
 
   private constructor(private readonly options: AttemptOptions) {
     const {signals, target} = options;
     this.quietSince = options.clock.now();
-    this.recordTaken = signals.begin(target.incarnation);
+    this.recordAccepted = signals.begin(target.incarnation);
   }
 
   /**
-   * Sends a request.
+   * Creates an attempt and sends the request.
    *
    * @example
    * const attempt = Attempt.create(options);
@@ -68,25 +67,25 @@
     return this.options.target;
   }
 
-  /** Bytes of the answer's body have come. */
+  /** True once part of the response body has been received. */
   get hasStarted(): boolean {
-    return this.hasBytes;
+    return this.hasBodyData;
   }
 
-  /** It waits for a connection: the backend server has seen nothing of it. */
+  /** True while it waits for a connection: nothing was sent to the backend server. */
   get isWaiting(): boolean {
     return !this.isSent && !this.isEnded;
   }
 
-  /** It waits for a connection to a backend server that control no longer tells, or that takes nothing now. */
-  get isLeftBehind(): boolean {
+  /** True while it waits for a connection to a backend server that control no longer lists or that accepts nothing now. */
+  get isTargetUnavailable(): boolean {
     const {board, target} = this.options;
-    const isOpen = board.has(target.incarnation) && this.isWelcome;
+    const isOpen = board.has(target.incarnation) && this.maySend;
     return this.isWaiting && !isOpen;
   }
 
-  /** The backend server wants it still, and what allowed it to go there holds. */
-  private get isWelcome(): boolean {
+  /** The backend server still accepts new requests, and the permit or the absence of a limit still holds. */
+  private get maySend(): boolean {
     const {signals, target, permit} = this.options;
     const {incarnation} = target;
     const isAllowed = permit
@@ -95,25 +94,25 @@
     return isAllowed && signals.isWelcome(incarnation);
   }
 
-  /** Gives up; the backend server sees its connection close. */
+  /** Ends the attempt and closes its connection, so that the backend server notices. */
   stop(reason: string): void {
     this.finish({kind: this.isSent ? 'broken' : 'not-run', reason});
     this.handle?.abort();
   }
 
-  /** Stops reading until the caller has room. */
+  /** Stops reading the response until `resume`, as backpressure from the caller. */
   pause(): void {
-    this.isHeldBack = true;
+    this.isReadPaused = true;
     this.handle?.pause();
   }
 
-  /** Nothing is read, because the caller has no room. */
+  /** True while nothing is read because the caller reads too slowly. */
   get isPaused(): boolean {
-    return this.isHeldBack;
+    return this.isReadPaused;
   }
 
   resume(): void {
-    this.isHeldBack = false;
+    this.isReadPaused = false;
     this.quietSince = this.options.clock.now();
     this.handle?.resume();
   }
@@ -149,9 +148,9 @@
     );
   }
 
-  /** It waited for its connection until now, and its backend server may have spoken since. */
+  /** Checks the target again: it may have announced a limit or a shutdown while this waited for a connection. */
   private handleSent(): void {
-    if (!this.isWelcome) {
+    if (!this.maySend) {
       this.stop('its backend server takes no new work');
       return;
     }
@@ -164,13 +163,13 @@
     if (this.isEnded) {
       return;
     }
-    const isOwn = head.isNotRun || head.requestId === request.id;
-    if (isOwn && !head.isWrongIncarnation) {
+    const isFromTarget = head.isNotRun || head.requestId === request.id;
+    if (isFromTarget && !head.isWrongIncarnation) {
       const {incarnation} = target;
       signals.recordHead({incarnation, head, sentAt: this.sentAt});
-      this.recordTaken?.(!head.isNotRun && head.restMs === undefined);
+      this.recordAccepted?.(!head.isNotRun && head.restMs === undefined);
     }
-    // A head says nothing about progress: it may leave before any work begins.
+    // A head is no sign of progress: it may be sent before any work begins.
     if (head.isWrongIncarnation) {
       board.drop(target.incarnation);
     }
@@ -193,20 +192,20 @@
 
   private handleData(chunk: Buffer): void {
     const {board, target, request, clock} = this.options;
-    if (this.isEnded || !this.isAnswer) {
+    if (this.isEnded || !this.hasResult) {
       return;
     }
     this.quietSince = clock.now();
     board.recordHeard(target.incarnation);
-    if (!this.hasBytes) {
-      this.hasBytes = true;
+    if (!this.hasBodyData) {
+      this.hasBodyData = true;
       board.recordFirst(target.incarnation, request.promptTokens);
     }
     this.options.onData(chunk);
   }
 
   private handleEnd(): void {
-    if (this.isAnswer) {
+    if (this.hasResult) {
       this.finish({kind: 'whole', reason: 'answered'});
       return;
     }
@@ -222,7 +221,7 @@
       this.finish({kind: 'not-run', reason: 'no connection was made'});
       return;
     }
-    if (this.head && !this.isAnswer) {
+    if (this.head && !this.hasResult) {
       this.finish({kind: 'not-run', reason: 'refused, then broken off'});
       return;
     }
@@ -233,8 +232,8 @@
     });
   }
 
-  /** False for an answer that says that nothing ran. */
-  private get isAnswer(): boolean {
+  /** False before a head, and for a response which states that the request was not executed. */
+  private get hasResult(): boolean {
     const {head} = this;
     return head !== undefined && !head.isNotRun && !head.isWrongIncarnation;
   }
@@ -244,9 +243,9 @@
       return;
     }
     this.isEnded = true;
-    this.recordTaken?.(false);
+    this.recordAccepted?.(false);
     const {board, target, request} = this.options;
-    if (!this.hasBytes) {
+    if (!this.hasBodyData) {
       board.recordFirst(target.incarnation, request.promptTokens);
     }
     board.recordEnd(target.incarnation);
--- a/src/gateway/attempt_outcome.ts
+++ b/src/gateway/attempt_outcome.ts
@@ -1,11 +1,11 @@
-/** How an attempt ended. */
+/** How one attempt to execute a request at a backend server ended. */
 export interface AttemptOutcome {
   /**
-   * `whole`: the answer is there to its end. `not-run`: it has not run and never
-   * will. `broken`: it may have run, and the answer is not whole.
+   * `whole`: the response is complete. `not-run`: the request was not executed and
+   * never will be. `broken`: it may have been executed, and the response is incomplete.
    */
   readonly kind: 'whole' | 'not-run' | 'broken';
   readonly reason: string;
-  /** It broke because the backend server's end of the connection did. */
+  /** The backend server's side closed or reset the connection. */
   readonly isConnectionLost?: boolean;
 }
--- a/src/gateway/buffered_body.ts
+++ b/src/gateway/buffered_body.ts
@@ -1,7 +1,7 @@
-/** An answer that is not a stream is held until it is whole, so that it can be repeated. */
-const MAX_HELD_BYTES = 8 * 1024 * 1024;
+/** Responses other than streams are buffered until complete, so that the request can still be retried. */
+const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-/** Parts of one answer's body, up to a limit. */
+/** Buffers one response body up to a fixed size. */
 export class BufferedBody {
   private readonly chunks: Buffer[] = [];
   private bytes = 0;
@@ -12,24 +12,24 @@
    * Creates an empty body.
    *
    * @example
-   * const held = HeldBody.create();
+   * const body = HeldBody.create();
    */
   static create(): BufferedBody {
     return new BufferedBody();
   }
 
-  /** Keeps one part; false when the body is too large to hold. */
+  /** Appends a chunk; false when the body exceeds the limit. */
   add(chunk: Buffer): boolean {
     this.bytes += chunk.length;
-    const hasRoom = this.bytes <= MAX_HELD_BYTES;
+    const hasRoom = this.bytes <= MAX_BUFFERED_BYTES;
     if (hasRoom) {
       this.chunks.push(chunk);
     }
     return hasRoom;
   }
 
-  /** The whole body. */
-  copyWhole(): Buffer {
+  /** Returns the body in one buffer. */
+  copyBytes(): Buffer {
     return Buffer.concat(this.chunks);
   }
 }
--- a/src/gateway/control_poller.ts
+++ b/src/gateway/control_poller.ts
@@ -1,4 +1,4 @@
-/** Follows control: the rules in force, the backend servers, and how fresh they are. */
+/** Long-polls the control processes for the rules in force and the backend servers, and tracks how fresh they are. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {ControlClient} from '../protocol/control_client';
@@ -11,61 +11,60 @@
 import {BackendLimits} from './backend_limits';
 import {RouteIndex} from './route_index';
 
-/** Above the time for which control holds a question. */
-const ASK_TIMEOUT_MS = 2_500;
-const PAUSE_AFTER_FAILURE_MS = 50;
+/** Longer than control delays the answer to a poll without news. */
+const POLL_TIMEOUT_MS = 2_500;
+const RETRY_DELAY_MS = 50;
 
-type Answer = MessageOf<ControlMessage, 'gateway-answer'>;
+type PollAnswer = MessageOf<ControlMessage, 'gateway-answer'>;
 
-/** What the gateway tells control about backend servers. */
-interface BackendNews {
+/** What the gateway reports to control with each poll. */
+interface GatewayReport {
   readonly stalled: readonly string[];
   readonly answering: readonly string[];
-  /** How long ago each of them was heard, in the same order, in milliseconds. */
+  /** Milliseconds since data was last received from each of `answering`, in the same order. */
   readonly answeringMsAgo: readonly number[];
   readonly running: Readonly<Record<string, number>>;
-  /** Models of which requests were refused lately for want of a place. */
+  /** Models whose requests were refused lately because no slot was free. */
   readonly pressed: readonly string[];
   readonly hasServed: boolean;
-  /** What callers ask for, by model. */
+  /** Demand of callers, by model. */
   readonly demand: Readonly<Record<string, ModelDemand>>;
 }
 
-/** What the feed works with. */
 interface RulesFeedOptions {
   readonly gatewayId: string;
   readonly client: ControlClient;
   readonly clock: Clock;
   readonly events: EventRing;
-  /** How long an answer counts, from when it was asked for, in milliseconds. */
+  /** How long an answer confirms the rules, in milliseconds from when the poll was sent. */
   readonly confirmationMs: number;
-  /** Within which a change that was confirmed is in force everywhere, in milliseconds. */
+  /** Time within which a confirmed change is in force at every gateway, in milliseconds. */
   readonly changesWithinMs: number;
-  readonly collectNews: () => BackendNews;
-  /** Requests that other gateways have at each backend server. */
+  readonly collectReport: () => GatewayReport;
+  /** Called with the requests that other gateways run at each backend server. */
   readonly onRunning: (
     running: Readonly<Record<string, number>>,
     otherGateways: number,
   ) => void;
-  /** The newest list of suspected requests that is held here. */
+  /** Returns the version of the list of suspected requests that this gateway has. */
   readonly readSuspectsVersion: () => number;
   readonly onSuspects: (news: SuspectNews) => void;
-  /** Limits of backend servers, which gateways tell each other through control. */
+  /** Rate limits of backend servers, which gateways exchange through control. */
   readonly limits: Pick<BackendLimits, 'describeNews' | 'applyNews'>;
   readonly onTargets: (targets: ReadonlyMap<string, GatewayTarget>) => void;
-  /** Addresses of the control processes, whenever they are told. */
+  /** Called with the addresses of the control processes from each answer. */
   readonly onControl: (addresses: readonly string[]) => void;
 }
 
-/** Asks control again and again. */
+/** Polls control until it is closed. */
 export class ControlPoller {
-  private routeIndex: RouteIndex | undefined;
+  private currentIndex: RouteIndex | undefined;
   private targets = new Map<string, GatewayTarget>();
   private tableTag = '';
   private confirmedAt = -Infinity;
-  private gatewayCount = 1;
+  private knownGatewayCount = 1;
   private isConnected: boolean | undefined;
-  private isTelling = false;
+  private isReporting = false;
   private isClosed = false;
 
   private constructor(private readonly options: RulesFeedOptions) {
@@ -73,53 +72,53 @@
   }
 
   /**
-   * Starts following.
+   * Starts polling.
    *
    * @example
-   * const feed = RulesFeed.create({gatewayId, client, clock, events, confirmationMs, changesWithinMs, collectNews, onTargets, onControl});
+   * const poller = ControlPoller.create({gatewayId, client, clock, events, confirmationMs, changesWithinMs, collectReport, onTargets, onControl});
    */
   static create(options: RulesFeedOptions): ControlPoller {
     return new ControlPoller(options);
   }
 
-  /** The rules in force; undefined before the first. */
+  /** The rules in force; undefined until the first arrive. */
   get index(): RouteIndex | undefined {
-    return this.routeIndex;
+    return this.currentIndex;
   }
 
-  /** Gateways that share what is limited in all. */
-  get gateways(): number {
-    return this.gatewayCount;
+  /** Number of gateways among which shared limits are divided. */
+  get gatewayCount(): number {
+    return this.knownGatewayCount;
   }
 
-  /** True while control confirmed the rules lately enough to act on them. */
+  /** True if control confirmed the rules recently enough to serve requests by them. */
   isConfirmed(): boolean {
     const {clock, confirmationMs} = this.options;
     return clock.now() - this.confirmedAt < confirmationMs;
   }
 
   /**
-   * True while every change that was confirmed longer ago than it may take to be in
-   * force is in force here: control was asked later than such a change was confirmed.
+   * True if the last confirmed poll was sent less than `changesWithinMs` ago. Every
+   * change that was confirmed longer ago than that is then in force here.
    */
   isCurrent(): boolean {
-    return this.ageMs < this.options.changesWithinMs;
+    return this.confirmationAgeMs < this.options.changesWithinMs;
   }
 
-  /** Milliseconds since the newest confirmed question was asked. */
-  get ageMs(): number {
+  /** Milliseconds since the newest confirmed poll was sent. */
+  get confirmationAgeMs(): number {
     return this.options.clock.now() - this.confirmedAt;
   }
 
-  /** Tells control at once what is new here, beside the question that it holds. */
-  tellNow(): void {
-    if (this.isTelling || this.isClosed) {
+  /** Reports to control at once, in parallel to the poll that control holds. */
+  reportNow(): void {
+    if (this.isReporting || this.isClosed) {
       return;
     }
-    this.isTelling = true;
+    this.isReporting = true;
     this.askOnce(true)
       .catch((error: Error) => this.recordConnection(false, error.message))
-      .finally(() => (this.isTelling = false));
+      .finally(() => (this.isReporting = false));
   }
 
   close(): void {
@@ -134,61 +133,63 @@
         this.recordConnection(true, 'control answers');
       } catch (error) {
         this.recordConnection(false, (error as Error).message);
-        await new Promise(resolve =>
-          setTimeout(resolve, PAUSE_AFTER_FAILURE_MS),
-        );
+        await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS));
       }
     }
   }
 
   private async askOnce(isUrgent: boolean): Promise<void> {
-    const {client, clock, gatewayId, collectNews} = this.options;
+    const {client, clock, gatewayId, collectReport} = this.options;
     const askedAt = clock.now();
-    const news = collectNews();
-    const known = this.options.limits.describeNews();
+    const report = collectReport();
+    const limitsReport = this.options.limits.describeNews();
     const {tableTag} = this;
     const answer = await client.ask<'gateway-ask'>(
       {
         type: 'gateway-ask',
         gatewayId,
-        rulesVersion: this.routeIndex?.rules.version ?? 0,
+        rulesVersion: this.currentIndex?.rules.version ?? 0,
         tableTag,
-        stalled: [...news.stalled],
-        answering: [...news.answering],
-        answeringMsAgo: [...news.answeringMsAgo],
-        running: {...news.running},
-        pressed: [...news.pressed],
-        hasServed: news.hasServed,
+        stalled: [...report.stalled],
+        answering: [...report.answering],
+        answeringMsAgo: [...report.answeringMsAgo],
+        running: {...report.running},
+        pressed: [...report.pressed],
+        hasServed: report.hasServed,
         isUrgent,
         suspectsVersion: this.options.readSuspectsVersion(),
-        demand: {...news.demand},
-        ...known,
+        demand: {...report.demand},
+        ...limitsReport,
       },
-      ASK_TIMEOUT_MS,
+      POLL_TIMEOUT_MS,
     );
     this.apply(answer, askedAt, tableTag);
     if (answer.limitsTag !== undefined) {
       const {limitsTag, limits = []} = answer;
-      this.options.limits.applyNews(known.limits, limitsTag, limits);
+      this.options.limits.applyNews(limitsReport.limits, limitsTag, limits);
     }
   }
 
-  private apply(answer: Answer, askedAt: number, askedTag: string): void {
-    const known = this.routeIndex?.rules.version ?? 0;
-    // A version that was in force here must never be followed by an older one.
-    if (answer.rulesVersion < known) {
+  private apply(
+    answer: PollAnswer,
+    askedAt: number,
+    askedWithTag: string,
+  ): void {
+    const knownVersion = this.currentIndex?.rules.version ?? 0;
+    // The rules must never go back to an older version.
+    if (answer.rulesVersion < knownVersion) {
       return;
     }
     const rules = answer.rules && rulesCodec.decode(answer.rules);
-    if (rules && rules.version > known) {
-      this.routeIndex = RouteIndex.create(rules);
+    if (rules && rules.version > knownVersion) {
+      this.currentIndex = RouteIndex.create(rules);
       this.options.events.record({
         type: 'rules-in-force',
         subject: 'bundle',
         id: String(rules.version),
-        reason: 'control told a newer version',
+        reason: 'control sent a newer version of the rules',
         details: {
-          before: known,
+          before: knownVersion,
           askedMsAgo: this.options.clock.now() - askedAt,
         },
       });
@@ -196,34 +197,38 @@
     if (answer.rulesVersion > 0) {
       this.confirmedAt = Math.max(this.confirmedAt, askedAt);
     }
-    // Changes fit the table that they were asked for; another answer may have come before.
-    const fits = answer.isWholeTable !== false || askedTag === this.tableTag;
-    if (answer.targets && fits) {
+    // A delta applies only to the table that the poll named; another answer may have replaced it.
+    const isApplicable =
+      answer.isWholeTable !== false || askedWithTag === this.tableTag;
+    if (answer.targets && isApplicable) {
       this.applyTargets(answer, answer.targets);
     }
     if (answer.suspects) {
       this.options.onSuspects(answer.suspects);
     }
-    this.gatewayCount = answer.gateways;
+    this.knownGatewayCount = answer.gateways;
     this.options.onRunning(answer.runningElsewhere, answer.gateways - 1);
     this.options.onControl(answer.control);
   }
 
   /**
-   * Changes add and retire; so does the whole table of a new leader, which has not
-   * heard everybody yet.
+   * Replaces the table only if it is complete. A delta adds and removes targets, and so
+   * does the full table of a new leader, which has not heard from every backend server yet.
    */
-  private applyTargets(answer: Answer, told: readonly GatewayTarget[]): void {
+  private applyTargets(
+    answer: PollAnswer,
+    added: readonly GatewayTarget[],
+  ): void {
     const isReplaced = answer.isComplete && answer.isWholeTable !== false;
     const targets = new Map(isReplaced ? [] : this.targets);
     const retired = new Set(answer.retired);
-    // A goodbye that names no start is that of the one known here; a new start is told.
+    // A retirement by name refers to the incarnation known here; a newer one is listed among the targets.
     for (const [incarnation, {name}] of targets) {
       if (name !== undefined && retired.has(name)) {
         targets.delete(incarnation);
       }
     }
-    told.forEach(target => targets.set(target.incarnation, target));
+    added.forEach(target => targets.set(target.incarnation, target));
     answer.retired?.forEach(incarnation => targets.delete(incarnation));
     answer.closed?.forEach(incarnation => targets.delete(incarnation));
     this.targets = targets;
@@ -232,7 +237,7 @@
   }
 
   private recordConnection(isConnected: boolean, reason: string): void {
-    // A feed that closes ends its own connection, which says nothing about control.
+    // Closing the poller ends its own connection, which says nothing about control.
     if (this.isConnected === isConnected || this.isClosed) {
       return;
     }
--- a/src/gateway/create_forecast_keys.ts
+++ b/src/gateway/create_forecast_keys.ts
@@ -1,27 +1,26 @@
 import {GatewayRules} from '../protocol/gateway_rules';
 
-/** Whose names they are. */
-interface WorkNamesInput {
+interface ForecastKeysInput {
   readonly route: Pick<GatewayRules['routes'][number], 'name'>;
   readonly pool: Pick<GatewayRules['pools'][number], 'name' | 'engine'>;
   readonly model: string | undefined;
 }
 
-/** Under which names a request is measured. */
-interface WorkNames {
-  /** Work of one route at one pool takes alike. */
+/** Keys under which the forecast aggregates requests that are alike. */
+interface ForecastKeys {
+  /** Requests of one route at one pool take similar times. */
   readonly work: string;
-  /** Requests for one model of one pool wait in one line; those for plain services in none. */
+  /** The queue for slots: one per pool and model; none for services without engines. */
   readonly line: string | undefined;
 }
 
 /**
- * Names the work of a request, and the line in which it waits.
+ * Creates the keys of a request: its kind of work and the queue in which it waits.
  *
  * @example
- * const {work, line} = createWorkNames({route, pool, model: request.model});
+ * const {work, line} = createForecastKeys({route, pool, model: request.model});
  */
-export function createForecastKeys(input: WorkNamesInput): WorkNames {
+export function createForecastKeys(input: ForecastKeysInput): ForecastKeys {
   const {route, pool, model = ''} = input;
   return {
     work: `${route.name} ${pool.name}`,
--- a/src/gateway/create_request_policies.ts
+++ b/src/gateway/create_request_policies.ts
@@ -7,7 +7,7 @@
 import {StallJudge} from './stall_judge';
 
 /**
- * Creates what decides about one request and needs nothing of its flow.
+ * Creates the history, deadline and policies of one request, which need none of its state.
  *
  * @example
  * const {policy, wait, stall} = createFlowParts(options);
@@ -16,21 +16,21 @@
   const {request, route, pool, arrivedAt, clock, budget} = options;
   const {board, forecast, dialect, signals} = options;
   const {model, promptTokens} = request;
-  const holdMs = Math.min(route.timeoutMs, request.waitMs ?? Infinity);
-  const deadlineAt = arrivedAt + holdMs;
-  const names = createForecastKeys({route, pool, model});
-  const {work} = names;
-  const judged = {route, pool, model, promptTokens, work, forecast};
+  const timeoutMs = Math.min(route.timeoutMs, request.waitMs ?? Infinity);
+  const deadlineAt = arrivedAt + timeoutMs;
+  const forecastKeys = createForecastKeys({route, pool, model});
+  const {work} = forecastKeys;
+  const stallInput = {route, pool, model, promptTokens, work, forecast};
   return {
     deadlineAt,
-    names,
-    course: RequestHistory.create(arrivedAt),
+    forecastKeys,
+    history: RequestHistory.create(arrivedAt),
     policy: RepeatPolicy.create({route, budget, clock, deadlineAt}),
-    stall: StallJudge.create(board, createStallTimes(judged)),
+    stall: StallJudge.create(board, createStallTimes(stallInput)),
     wait: PlaceWait.create({
       forecast,
       clock,
-      ...names,
+      ...forecastKeys,
       objectiveMs: route.objectiveMs,
       arrivedAt,
       deadlineAt,
--- a/src/gateway/error_status.ts
+++ b/src/gateway/error_status.ts
@@ -1,15 +1,15 @@
-/** What callers are told that get no answer of a backend server. */
+/** Statuses of errors that the gateway answers itself. */
 export const ERROR_STATUS = {
-  /** It has not run and never will. */
+  /** The request was not executed and never will be. */
   notRun: 503,
-  /** It may have run. */
+  /** The request may have been executed. */
   failed: 502,
-  /** Its time is over. */
+  /** The request's deadline has passed. */
   timedOut: 504,
   /**
-   * Backend servers end under it: it is well formed and cannot be carried out, by
-   * whomever and however often. Callers do not repeat a 4xx, and it does not say
-   * whether the request ran, as it may have.
+   * Backend servers crash when they run this request, so no server can execute it,
+   * though it is well formed. Callers do not retry a 4xx, and this one leaves open
+   * whether the request was executed, as it may have been.
    */
   cannotBeRun: 422,
 } as const;
--- a/src/gateway/event_stream_splitter.ts
+++ b/src/gateway/event_stream_splitter.ts
@@ -1,38 +1,38 @@
-/** Cuts a stream of numbered events at event boundaries. */
+/** Splits a stream of server-sent events at event boundaries. */
 
 const BOUNDARY = Buffer.from('\n\n');
 const ID_LINE = /^id:[ ]?(\S+)/m;
 
-/** One whole event. */
+/** One complete event. */
 interface StreamEvent {
-  /** To the byte, with the empty line at its end. */
+  /** The unchanged bytes, including the empty line at the end. */
   readonly bytes: Buffer;
   readonly id: string | undefined;
 }
 
-/** Yields whole events only, so that a break never passes on a part of one. */
+/** Yields complete events only, so that a broken connection never forwards part of one. */
 export class EventStreamSplitter {
   private pending: Buffer = Buffer.alloc(0);
 
   private constructor() {}
 
   /**
-   * Creates a splitter for one answer.
+   * Creates a splitter for one response.
    *
    * @example
-   * const splitter = EventSplitter.create();
-   * for (const event of splitter.split(chunk)) pass(event.bytes);
+   * const splitter = EventStreamSplitter.create();
+   * for (const event of splitter.split(chunk)) write(event.bytes);
    */
   static create(): EventStreamSplitter {
     return new EventStreamSplitter();
   }
 
-  /** Bytes of an event that is not whole yet. */
+  /** Number of buffered bytes that belong to an incomplete event. */
   get pendingBytes(): number {
     return this.pending.length;
   }
 
-  /** Adds a chunk; returns the events that are whole now. */
+  /** Adds a chunk; returns the events that it completes. */
   split(chunk: Buffer): StreamEvent[] {
     const bytes =
       this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
--- a/src/gateway/gateway_request.ts
+++ b/src/gateway/gateway_request.ts
@@ -1,20 +1,20 @@
-/** A caller's request after its headers were read. */
+/** A caller's request, parsed from its headers. */
 export interface GatewayRequest {
-  /** The caller's name for this request; answers carry it back. */
+  /** The id that the caller chose; responses carry it back. */
   readonly id: string;
   /** Lower case, without a port. */
   readonly host: string;
   readonly method: string;
-  /** Path and query, to the byte. */
+  /** Path and query, unchanged. */
   readonly path: string;
-  /** The key that the caller sent. */
+  /** The API key that the caller sent. */
   readonly key?: string;
-  /** Milliseconds that the caller waits, counted from arrival. */
+  /** How long the caller waits, in milliseconds from arrival. */
   readonly waitMs?: number;
   readonly model?: string;
   readonly promptTokens: number;
-  /** The last event that the caller already has. */
+  /** The id of the last event that the caller has received. */
   readonly lastEventId?: string;
-  /** Names and values in turn, as they go on to a backend server. */
+  /** Alternating names and values, as forwarded to a backend server. */
   readonly forwardedHeaders: readonly string[];
 }
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -1,4 +1,4 @@
-/** The process between callers and backend servers: routes, dispatches, resumes. */
+/** The reverse proxy between callers and backend servers: admits, routes and proxies requests. */
 import {randomBytes} from 'node:crypto';
 import {IncomingMessage, ServerResponse} from 'node:http';
 import {Socket} from 'node:net';
@@ -33,77 +33,77 @@
 import {ControlPoller} from './control_poller';
 import {TargetBoard} from './target_board';
 
-/** Between two looks at requests that wait or stall; well under the pauses that matter. */
-const CHECK_MS = 20;
-/** Some looks that did not happen; well under the shortest pause that counts as a stall. */
-const OWN_PAUSE_MS = 4 * CHECK_MS;
-/** Why a request is given up when the time for a stop is over. */
-const STOPPED = 'this gateway stopped';
-/** What a caller may send before any rules are known. */
-const UNKNOWN_LIMIT_BYTES = 1024 * 1024;
-/** A control process that is silent for this long is left for another. */
-const CONTROL_TRY_MS = 1_000;
+/** Interval at which waiting and streaming requests are checked; well under the pauses that count as stalls. */
+const CHECK_INTERVAL_MS = 20;
+/** A longer gap between two checks means that this process was paused; well under the shortest pause that counts as a stall. */
+const MAX_CHECK_GAP_MS = 4 * CHECK_INTERVAL_MS;
+/** Reason of requests that are abandoned when the gateway shuts down. */
+const STOPPED_REASON = 'this gateway stopped';
+/** Limit for request bodies until the first rules arrive. */
+const DEFAULT_MAX_BODY_BYTES = 1024 * 1024;
+/** After this time without an answer, another control process is tried. */
+const CONTROL_TIMEOUT_MS = 1_000;
 
-/** A running gateway. */
+/** A running gateway: it follows control and proxies the requests of callers. */
 export class GatewayServer {
-  /** What happened here, newest in memory. */
+  /** Recorded events; the newest are kept in memory. */
   readonly events = EventRing.create();
   private readonly clock = systemClock;
   private readonly origins = HttpOrigins.create();
   private readonly board: TargetBoard;
-  private readonly feed: ControlPoller;
-  private readonly log: RequestLog;
-  private readonly budgets = new Map<string, RepeatBudget>();
-  private readonly flows = new Set<ProxiedRequest>();
+  private readonly poller: ControlPoller;
+  private readonly requestLog: RequestLog;
+  private readonly retryBudgets = new Map<string, RepeatBudget>();
+  private readonly activeRequests = new Set<ProxiedRequest>();
   private readonly forecast = PlaceForecast.create(systemClock);
   private readonly demand = DemandMeter.create(systemClock);
   private readonly containment: Containment;
   private readonly checkTimer: NodeJS.Timeout;
-  /** When requests were last looked at, or should have been. */
-  private checkedAt: number;
-  private isLookLeftOut = false;
-  private seeds: readonly string[];
+  /** When requests were last checked, or a check was skipped. */
+  private lastCheckAt: number;
+  private wasCheckSkipped = false;
+  private seedAddresses: readonly string[];
   private controlAddresses: readonly string[];
   private listener: HttpListener | undefined;
   private openRequests = 0;
-  /** Answers of requests that were admitted, until their last byte has left. */
-  private readonly takenAnswers = new Set<ResponseWriter>();
+  /** Responses to admitted requests, until their last byte is sent. */
+  private readonly admittedResponses = new Set<ResponseWriter>();
   private readonly pressed = PressedModels.create(systemClock);
   private readonly signals: BackendSignals;
-  /** Connections on which a request came before. */
-  private readonly knownConnections = new WeakSet<Socket>();
-  private readonly stop: GatewayShutdown;
+  /** Connections on which a request has arrived before. */
+  private readonly seenConnections = new WeakSet<Socket>();
+  private readonly shutdown: GatewayShutdown;
   private hasServed = false;
 
   private constructor(private readonly settings: GatewaySettings) {
     const {gatewayId, zone, control, stopWithinMs} = settings;
     const {confirmationMs, changesWithinMs} = settings;
     const {clock, events} = this;
-    this.stop = GatewayShutdown.create({
+    this.shutdown = GatewayShutdown.create({
       gatewayId,
       clock,
       events,
       withinMs: stopWithinMs,
-      honouredPart: settings.dialect.maxRetryAfterFraction,
+      maxRetryAfterFraction: settings.dialect.maxRetryAfterFraction,
     });
-    this.seeds = control;
+    this.seedAddresses = control;
     this.controlAddresses = control;
     const incarnation = randomBytes(8).toString('hex');
     const lines = ThrottledLines.create(events, clock);
     const client = ControlClient.create({
       addresses: () => this.controlAddresses,
-      tryTimeoutMs: CONTROL_TRY_MS,
+      tryTimeoutMs: CONTROL_TIMEOUT_MS,
       identity: {program: 'gateway', id: gatewayId, incarnation},
       onSearched: search => recordSearch(lines, gatewayId, search),
     });
-    const tellNow = () => this.feed.tellNow();
-    const source = {gatewayId, client, events, onNews: tellNow};
+    const reportNow = () => this.poller.reportNow();
+    const source = {gatewayId, client, events, onNews: reportNow};
     this.signals = createBackendSignals(source);
     this.board = TargetBoard.create(
       zone,
       clock,
       Math.random,
-      tellNow,
+      reportNow,
       this.signals.openness,
     );
     this.containment = Containment.create({
@@ -111,23 +111,23 @@
       calls: createSuspectCalls(gatewayId, client),
       onEnded: ended => this.board.recordEnded(ended),
     });
-    this.feed = ControlPoller.create({
+    this.poller = ControlPoller.create({
       gatewayId,
       client,
-      // A key that was taken away while this machine was suspended must not be taken.
+      // A key that was revoked while this machine was suspended must not be accepted.
       clock: LeaseClock.create({
         steady: clock,
         wall: () => Date.now(),
         onPause: pause => {
           recordPause(events, 'control', gatewayId, pause);
-          // Nothing is confirmed any more; what control says now is one round trip away.
-          setImmediate(tellNow);
+          // The rules count as unconfirmed now; an urgent poll confirms them within one round trip.
+          setImmediate(reportNow);
         },
       }),
       events,
       confirmationMs,
       changesWithinMs,
-      collectNews: () => ({
+      collectReport: () => ({
         ...this.board.listNews(),
         pressed: this.pressed.list(),
         hasServed: this.hasServed,
@@ -144,33 +144,39 @@
         this.origins.retain(this.board.listAddresses());
       },
       onControl: addresses => {
-        this.controlAddresses = [...new Set([...addresses, ...this.seeds])];
+        this.controlAddresses = [
+          ...new Set([...addresses, ...this.seedAddresses]),
+        ];
       },
     });
-    this.log = RequestLog.create(events, this.feed);
-    this.checkedAt = clock.now();
-    this.checkTimer = setInterval(() => this.checkFlows(), CHECK_MS);
+    this.requestLog = RequestLog.create(events, this.poller);
+    this.lastCheckAt = clock.now();
+    this.checkTimer = setInterval(
+      () => this.checkRequests(),
+      CHECK_INTERVAL_MS,
+    );
   }
 
   /**
-   * A process that did not run for a while wakes with its timers, before it reads
-   * what has come meanwhile: its own pause is not that of its backend servers.
-   * Never two looks in a row are left out, so that a slow process judges, too.
+   * Checks all active requests, but skips one check after this process was paused:
+   * timers fire before received data is read, so its own pause would look like a stall
+   * of every backend server. Two checks in a row are never skipped, so that a slow
+   * process detects stalls, too.
    */
-  private checkFlows(): void {
+  private checkRequests(): void {
     const now = this.clock.now();
-    const hasPaused = now - this.checkedAt > OWN_PAUSE_MS;
-    this.checkedAt = now;
-    this.isLookLeftOut = hasPaused && !this.isLookLeftOut;
-    if (!this.isLookLeftOut) {
-      this.flows.forEach(flow => flow.check(now));
+    const hasPaused = now - this.lastCheckAt > MAX_CHECK_GAP_MS;
+    this.lastCheckAt = now;
+    this.wasCheckSkipped = hasPaused && !this.wasCheckSkipped;
+    if (!this.wasCheckSkipped) {
+      this.activeRequests.forEach(request => request.check(now));
     }
   }
 
   /**
-   * Listens for callers and follows control.
+   * Starts to poll control and to listen for callers.
    *
-   * @throws TransportError when the address cannot be taken
+   * @throws TransportError when the address cannot be bound
    * @example
    * const gateway = await GatewayServer.create(settings);
    */
@@ -181,49 +187,50 @@
       port: settings.port,
       onRequest: (request, response) => void gateway.handle(request, response),
     });
-    // The monotonic clock of a process begins with its start.
-    gateway.stop.recordStarted(gateway.clock.now());
+    // The monotonic clock of a process counts from its start.
+    gateway.shutdown.recordStarted(gateway.clock.now());
     return gateway;
   }
 
-  /** The port for callers. */
+  /** The port on which it listens for callers. */
   get port(): number {
     return this.listener?.port ?? 0;
   }
 
-  /** True while new connections should come here. */
+  /** True while load balancers should send new connections to this gateway. */
   get isReady(): boolean {
     const hasTargets = this.board.listAddresses().size > 0;
-    return !this.stop.hasBegun && this.feed.isConfirmed() && hasTargets;
+    return !this.shutdown.hasBegun && this.poller.isConfirmed() && hasTargets;
   }
 
-  /** Takes other places to find control at, as the settings changed. */
+  /** Updates the seed addresses of control after the settings changed. */
   setControl(addresses: readonly string[]): void {
-    this.seeds = addresses;
+    this.seedAddresses = addresses;
     this.controlAddresses = [
       ...new Set([...this.controlAddresses, ...addresses]),
     ];
   }
 
-  /** Answers what comes until callers have noticed, then ends when what was taken is answered. */
+  /** Shuts down gracefully: serves requests until callers have noticed, and closes once all admitted ones are answered. */
   async drain(): Promise<void> {
-    await this.stop.run({
-      countTaken: () => this.takenAnswers.size,
+    await this.shutdown.run({
+      countTaken: () => this.admittedResponses.size,
       countOpen: () => this.openRequests,
       stopAccepting: () => this.listener?.stopAccepting(),
-      giveUp: () => this.flows.forEach(flow => flow.abandon(STOPPED)),
+      giveUp: () =>
+        this.activeRequests.forEach(request => request.abandon(STOPPED_REASON)),
     });
     await this.close();
   }
 
-  /** Stops at once. */
+  /** Closes at once and abandons all active requests. */
   async close(): Promise<void> {
     clearInterval(this.checkTimer);
-    this.flows.forEach(flow => flow.abandon(STOPPED));
-    this.takenAnswers.forEach(taken => taken.breakOff());
+    this.activeRequests.forEach(request => request.abandon(STOPPED_REASON));
+    this.admittedResponses.forEach(response => response.cancel());
     this.containment.close();
     this.signals.close();
-    this.feed.close();
+    this.poller.close();
     await this.listener?.close();
     await this.origins.close();
   }
@@ -234,10 +241,10 @@
   ): Promise<void> {
     const arrivedAt = this.clock.now();
     const {dialect} = this.settings;
-    const answer = ResponseWriter.create(
+    const writer = ResponseWriter.create(
       response,
       dialect.requestIdHeader,
-      () => this.stop.hasBegun,
+      () => this.shutdown.hasBegun,
     );
     this.openRequests += 1;
     response.once('close', () => (this.openRequests -= 1));
@@ -245,64 +252,64 @@
       const request = dialect.readRequest(message);
       if (typeof request === 'string') {
         await readHttpBody(message, 0).catch(() => undefined);
-        answer.sendOwn({status: 400, reason: request}, undefined);
+        writer.sendError({status: 400, reason: request}, undefined);
         return;
       }
-      await this.admit(message, request, answer, arrivedAt);
+      await this.admit(message, request, writer, arrivedAt);
     } catch (error) {
       const isTooLarge = (error as Error).name === 'TooLarge';
       const status = isTooLarge ? 413 : 400;
-      answer.sendOwn({status, reason: (error as Error).message}, undefined);
+      writer.sendError({status, reason: (error as Error).message}, undefined);
     }
   }
 
   private async admit(
     message: IncomingMessage,
     request: GatewayRequest,
-    answer: ResponseWriter,
+    writer: ResponseWriter,
     arrivedAt: number,
   ): Promise<void> {
-    const isOnNewConnection = !this.knownConnections.has(message.socket);
-    this.knownConnections.add(message.socket);
-    const limits = this.feed.index?.rules.limits;
-    const maxBytes = limits?.maxBodyBytes ?? UNKNOWN_LIMIT_BYTES;
+    const isOnNewConnection = !this.seenConnections.has(message.socket);
+    this.seenConnections.add(message.socket);
+    const limits = this.poller.index?.rules.limits;
+    const maxBytes = limits?.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
     const body = await readHttpBody(message, maxBytes);
-    // After the body came, since the rules may have changed or grown old meanwhile.
-    const {index} = this.feed;
+    // Decided after the body was received, since the rules may have changed or expired meanwhile.
+    const {index} = this.poller;
     const admitted = decideAdmission({
       request,
       index,
-      isConfirmed: this.feed.isConfirmed(),
-      isCurrent: this.feed.isCurrent(),
+      isConfirmed: this.poller.isConfirmed(),
+      isCurrent: this.poller.isCurrent(),
       random: Math.random(),
     });
     if ('status' in admitted) {
-      answer.sendOwn(admitted, request.id);
-      this.log.recordRefusal(request, admitted);
+      writer.sendError(admitted, request.id);
+      this.requestLog.recordRefusal(request, admitted);
       return;
     }
-    if (answer.isGone) {
-      // Its caller left while the body came; nothing would tell a flow so.
+    if (writer.isDisconnected) {
+      // The caller disconnected while the body was received; its close event has already fired.
       return;
     }
     const {route, pool, workspace} = admitted;
-    const tooLate = this.stop.admit({
+    const refusal = this.shutdown.admit({
       route,
       leftMs: this.computeLeftMs(request, route, arrivedAt),
       isOnNewConnection,
     });
-    if (tooLate) {
-      answer.sendOwn(tooLate, request.id);
-      this.log.recordRefusal(request, tooLate);
+    if (refusal) {
+      writer.sendError(refusal, request.id);
+      this.requestLog.recordRefusal(request, refusal);
       return;
     }
     this.hasServed = true;
-    this.takenAnswers.add(answer);
-    answer.watchEnd(() => this.takenAnswers.delete(answer));
+    this.admittedResponses.add(writer);
+    writer.watchClose(() => this.admittedResponses.delete(writer));
     this.demand.recordArrival(request, pool.engine);
-    const connections = pool.maxConnections / (this.feed.gateways + 1);
-    const flow: {current?: ProxiedRequest} = {};
-    flow.current = ProxiedRequest.create({
+    const connections = pool.maxConnections / (this.poller.gatewayCount + 1);
+    const proxied: {current?: ProxiedRequest} = {};
+    proxied.current = ProxiedRequest.create({
       request,
       identity: RequestIdentity.create({request, workspace, body}),
       body,
@@ -311,29 +318,29 @@
       workspace,
       maxConnections: Math.max(1, Math.floor(connections)),
       arrivedAt,
-      response: answer,
+      response: writer,
       origins: this.origins,
       board: this.board,
-      budget: this.findBudget(pool.name),
+      budget: this.findRetryBudget(pool.name),
       forecast: this.forecast,
       containment: this.containment,
       signals: this.signals,
       dialect: this.settings.dialect,
       clock: this.clock,
       onDone: result => {
-        if (flow.current) {
-          this.flows.delete(flow.current);
+        if (proxied.current) {
+          this.activeRequests.delete(proxied.current);
         }
         this.recordResult(request, route.name, result);
         this.demand.recordResult(request, pool.engine, result);
       },
     });
-    if (!flow.current.isFinished) {
-      this.flows.add(flow.current);
+    if (!proxied.current.isFinished) {
+      this.activeRequests.add(proxied.current);
     }
   }
 
-  /** What is left of the time for which a request may be held. */
+  /** Returns the milliseconds until the deadline of a request. */
   private computeLeftMs(
     {waitMs = Infinity}: GatewayRequest,
     {timeoutMs}: {timeoutMs: number},
@@ -342,16 +349,16 @@
     return Math.min(waitMs, timeoutMs) - (this.clock.now() - arrivedAt);
   }
 
-  private findBudget(pool: string): RepeatBudget {
-    const known = this.budgets.get(pool);
+  private findRetryBudget(pool: string): RepeatBudget {
+    const known = this.retryBudgets.get(pool);
     const budget =
       known ??
       RepeatBudget.create(
         this.settings.retries,
         this.clock,
-        () => this.feed.gateways,
+        () => this.poller.gatewayCount,
       );
-    this.budgets.set(pool, budget);
+    this.retryBudgets.set(pool, budget);
     return budget;
   }
 
@@ -362,14 +369,14 @@
   ): void {
     const {outcome, tookMs} = result;
     if (outcome === 'answered') {
-      this.stop.recordAnswered(route, tookMs);
+      this.shutdown.recordAnswered(route, tookMs);
     }
     const {model} = request;
     if (outcome === 'refused' && model !== undefined) {
       if (this.pressed.record(model)) {
-        this.feed.tellNow();
+        this.poller.reportNow();
       }
     }
-    this.log.recordResult(request, route, result);
+    this.requestLog.recordResult(request, route, result);
   }
 }
--- a/src/gateway/gateway_settings.ts
+++ b/src/gateway/gateway_settings.ts
@@ -1,27 +1,27 @@
 import {HttpDialect} from './http_dialect';
 
-/** Everything that a gateway is told when it starts. */
+/** Settings with which a gateway process starts. */
 export interface GatewaySettings {
   readonly gatewayId: string;
   readonly zone: string;
-  /** Where callers connect. */
+  /** The address on which it listens for callers. */
   readonly host: string;
   readonly port: number;
-  /** Where control processes may be found at first. */
+  /** Initial addresses of control processes. */
   readonly control: readonly string[];
   readonly dialect: HttpDialect;
-  /** How long a confirmation by control lets requests through, in milliseconds. */
+  /** How long requests are served after control confirmed the rules, in milliseconds. */
   readonly confirmationMs: number;
-  /** Within which a change of rules is in force everywhere, in milliseconds: what a refusal for good may be based on. */
+  /** Time within which a change of rules is in force at every gateway, in milliseconds. Permanent refusals need rules confirmed more recently. */
   readonly changesWithinMs: number;
-  /** Repeats of requests, over all gateways. */
+  /** The budget for retries, shared by all gateways. */
   readonly retries: {
-    /** Per request to the pool. */
+    /** Retries allowed per request to the pool. */
     readonly ratio: number;
     readonly windowMs: number;
-    /** Allowed beyond the ratio in each window. */
+    /** Retries allowed in each window beyond the ratio. */
     readonly slack: number;
   };
-  /** From the order to stop until the process is ended by force, in milliseconds. */
+  /** From the signal to stop until the process is killed, in milliseconds. */
   readonly stopWithinMs: number;
 }
--- a/src/gateway/gateway_shutdown.ts
+++ b/src/gateway/gateway_shutdown.ts
@@ -1,4 +1,4 @@
-/** The planned stop of a gateway: what it still takes, and what it tells the others. */
+/** Graceful shutdown of a gateway: which requests it still admits, and when refused callers should retry. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {runStop} from '../common/run_stop';
@@ -6,49 +6,48 @@
 import {LongestTimes} from './longest_times';
 import {Refusal} from './refusal';
 
-/** Another gateway can take it now: as soon as a caller can connect anew. */
-const ELSEWHERE_MS = 20;
+/** Retry delay while another gateway can serve the request: the time to open a new connection. */
+const RECONNECT_DELAY_MS = 20;
 
-/** What a stop works with. */
 interface GatewayStopOptions {
   readonly gatewayId: string;
   readonly clock: Clock;
   readonly events: EventRing;
-  /** From the signal to the end by force, in milliseconds. */
+  /** From the signal until the process is killed, in milliseconds. */
   readonly withinMs: number;
-  /** Part of what is left of its time within which a caller comes back as it is told. */
-  readonly honouredPart: number;
+  /** Fraction of a caller's remaining time up to which it honors a retry delay. */
+  readonly maxRetryAfterFraction: number;
 }
 
-/** What is known of a request that comes while the gateway stops. */
-interface LateRequest {
+/** A request that arrived, as far as its admission during shutdown depends on it. */
+interface RequestDuringStop {
   readonly route: {readonly name: string; readonly objectiveMs: number};
-  /** How long its caller still waits for it, in milliseconds. */
+  /** How much longer its caller waits, in milliseconds. */
   readonly leftMs: number;
-  /** It is the first on its connection. */
+  /** It is the first request on its connection. */
   readonly isOnNewConnection: boolean;
 }
 
-/** Knows whether a gateway stops, and carries the stop out. */
+/** Runs the shutdown and admits or refuses the requests that arrive meanwhile. */
 export class GatewayShutdown {
   private readonly schedule: StopSchedule;
-  private readonly longest: LongestTimes;
-  /** How long this process took from its start until it listened, in milliseconds. */
-  private startMs = 0;
-  private takenSince = 0;
-  private refusedSince = 0;
+  private readonly longestTimes: LongestTimes;
+  /** From the start of this process until it listened, in milliseconds. */
+  private startupMs = 0;
+  private admittedDuringStop = 0;
+  private refusedDuringStop = 0;
 
   private constructor(private readonly options: GatewayStopOptions) {
     const {withinMs, clock} = options;
     this.schedule = StopSchedule.create({withinMs});
-    this.longest = LongestTimes.create(clock);
+    this.longestTimes = LongestTimes.create(clock);
   }
 
   /**
-   * Creates the stop of a gateway that was not told to.
+   * Creates the shutdown of a gateway that has not been told to stop.
    *
    * @example
-   * const stop = GatewayStop.create({gatewayId, clock, events, withinMs: 8000, honouredPart: 1 / 3});
+   * const shutdown = GatewayShutdown.create({gatewayId, clock, events, withinMs: 8000, maxRetryAfterFraction: 1 / 3});
    */
   static create(options: GatewayStopOptions): GatewayShutdown {
     return new GatewayShutdown(options);
@@ -58,37 +57,37 @@
     return this.schedule.hasBegun;
   }
 
-  /** Notes when the gateway first listened, in milliseconds after its process began. */
+  /** Records when the gateway began to listen, in milliseconds after its process started. */
   recordStarted(sinceStartMs: number): void {
-    this.startMs = sinceStartMs;
+    this.startupMs = sinceStartMs;
   }
 
-  /** Notes how long a request took that got its whole answer. */
+  /** Records how long a request took that got a complete response. */
   recordAnswered(route: string, tookMs: number): void {
-    this.longest.record(route, tookMs);
+    this.longestTimes.record(route, tookMs);
   }
 
-  /** Takes a request, or tells why it is refused: it could not be finished here. */
-  admit(request: LateRequest): Refusal | undefined {
+  /** Returns a refusal for a request that this gateway could not finish before it stops. */
+  admit(request: RequestDuringStop): Refusal | undefined {
     const {schedule} = this;
     if (!schedule.hasBegun) {
       return undefined;
     }
     const longestMs = this.findLongestMs(request);
     if (schedule.canTake(this.options.clock.now(), longestMs)) {
-      this.takenSince += 1;
+      this.admittedDuringStop += 1;
       return undefined;
     }
-    this.refusedSince += 1;
+    this.refusedDuringStop += 1;
     const retryAfterMs = this.computeRetryAfterMs(request);
     return {status: 503, reason: 'this gateway stops', retryAfterMs};
   }
 
   /**
-   * Answers what comes until callers have noticed, finishes what was taken, and
-   * gives up what is left when the time is over.
+   * Serves requests until callers have noticed the shutdown, finishes those that were
+   * admitted, and abandons what remains when the time is over.
    *
-   * @param steps how to do that
+   * @param steps callbacks that carry out the shutdown of the server
    */
   async run(
     steps: Pick<
@@ -97,39 +96,43 @@
     >,
   ): Promise<void> {
     const {clock} = this.options;
-    this.record('gateway-stopping', 'callers go elsewhere from now on', {
-      underWay: steps.countTaken(),
-    });
+    this.record(
+      'gateway-stopping',
+      'no longer ready: callers should use other gateways',
+      {
+        underWay: steps.countTaken(),
+      },
+    );
     const end = await runStop({...steps, clock, schedule: this.schedule});
-    const isWhole = end.givenUp === 0;
+    const isComplete = end.givenUp === 0;
     this.record(
       'gateway-stopped',
-      isWhole ? 'nothing is under way' : 'the time for the stop is over',
+      isComplete ? 'nothing is under way' : 'the time for the stop is over',
       {
         givenUp: end.givenUp,
-        takenSinceStop: this.takenSince,
-        refusedSinceStop: this.refusedSince,
+        takenSinceStop: this.admittedDuringStop,
+        refusedSinceStop: this.refusedDuringStop,
       },
     );
   }
 
   /**
-   * Whose first request on a connection comes when all have noticed was sent here
-   * because few gateways are ready. They are back when they have finished what
-   * they took and have started again. Everybody else finds another one now.
+   * A new connection that arrives after all callers could notice the shutdown means
+   * that few other gateways are ready, so its caller should wait until gateways have
+   * finished their requests and restarted. All others can use another gateway now.
    */
-  private computeRetryAfterMs(request: LateRequest): number {
+  private computeRetryAfterMs(request: RequestDuringStop): number {
     const isNoticed = this.schedule.isNoticed(this.options.clock.now());
-    const areFewReady = isNoticed && request.isOnNewConnection;
-    const backMs = this.findLongestMs(request) + this.startMs;
-    const wantedMs = areFewReady ? backMs : ELSEWHERE_MS;
-    const mostMs = request.leftMs * this.options.honouredPart;
-    return Math.max(ELSEWHERE_MS, Math.min(wantedMs, mostMs));
+    const hasNoAlternative = isNoticed && request.isOnNewConnection;
+    const restartedInMs = this.findLongestMs(request) + this.startupMs;
+    const delayMs = hasNoAlternative ? restartedInMs : RECONNECT_DELAY_MS;
+    const maxMs = request.leftMs * this.options.maxRetryAfterFraction;
+    return Math.max(RECONNECT_DELAY_MS, Math.min(delayMs, maxMs));
   }
 
-  /** A route that was not seen lately may take as long as its answer should. */
-  private findLongestMs({route}: LateRequest): number {
-    return this.longest.find(route.name) || route.objectiveMs;
+  /** Falls back to the objective of a route without recent requests. */
+  private findLongestMs({route}: RequestDuringStop): number {
+    return this.longestTimes.find(route.name) || route.objectiveMs;
   }
 
   private record(
--- a/src/gateway/http_dialect.ts
+++ b/src/gateway/http_dialect.ts
@@ -3,39 +3,39 @@
 import {ResponseHead} from './response_head';
 import {GatewayRequest} from './gateway_request';
 
-/** What a dispatch adds to a caller's request. */
-interface DispatchMarks {
-  /** The only start of a backend server that may run it. */
+/** Values that an attempt adds to the headers of a caller's request. */
+interface DispatchHeaders {
+  /** The only incarnation of a backend server that may execute the request. */
   readonly incarnation: string;
   readonly workspace?: string;
-  /** Milliseconds that the backend server may take. */
+  /** Milliseconds until the request's deadline. */
   readonly remainingMs?: number;
-  /** The last event that the caller has. */
+  /** The id of the last event that the caller received. */
   readonly lastEventId?: string;
 }
 
-/** The header names of callers and backend servers; an adapter provides them. */
+/** Reads and writes the HTTP headers of callers and backend servers; an adapter for each platform implements it. */
 export interface HttpDialect {
-  /** Reads the headers of a request; the text says what is wrong. */
+  /** Reads the headers of a request; returns the reason as text if they are invalid. */
   readonly readRequest: (message: IncomingMessage) => GatewayRequest | string;
-  /** Headers to a backend server, names and values in turn. */
+  /** Headers for a backend server, as alternating names and values. */
   readonly createHeaders: (
     request: GatewayRequest,
-    marks: DispatchMarks,
+    marks: DispatchHeaders,
   ) => string[];
   readonly readResponseHead: (
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ) => ResponseHead;
-  /** How long a caller bears a pause before it leaves a stream, in milliseconds. */
+  /** How long a caller tolerates a pause in a stream before it disconnects, in milliseconds. */
   readonly computeMaxPauseMs: (
     route: Pick<
       GatewayRules['routes'][number],
       'objectiveMs' | 'pauseObjectiveMs'
     >,
   ) => number;
-  /** Part of what is left of its time within which a caller comes back as it is told. */
+  /** Fraction of a caller's remaining time up to which it honors a retry delay. */
   readonly maxRetryAfterFraction: number;
-  /** The header with which an own answer names its request. */
+  /** The header that carries the request id in errors of the gateway. */
   readonly requestIdHeader: string;
 }
--- a/src/gateway/proxied_request.ts
+++ b/src/gateway/proxied_request.ts
@@ -1,4 +1,4 @@
-/** Carries one request through: attempts, repeats, resumed streams, its final answer. */
+/** Proxies one request: its attempts, retries, resumed streams and final response. */
 import {ResponseHead} from './response_head';
 import {ResponseRelay} from './response_relay';
 import {Attempt} from './attempt';
@@ -15,51 +15,53 @@
 import {StallJudge} from './stall_judge';
 import {SuspectTrial} from './suspect_trial';
 
-/** Told to the caller of a request that is never sent again, too. */
-const CONVICTED =
+/** Sent to the caller as the reason why the request is rejected for good. */
+const CONVICTED_REASON =
   'backend servers end when they begin this request: it is not sent again';
 
-/** One request under way. */
+/** The state machine of one request, from its arrival until its caller has a final response. */
 export class ProxiedRequest {
   private readonly sender: RequestSender;
   private readonly relay: ResponseRelay;
-  private readonly course: RequestHistory;
+  private readonly history: RequestHistory;
   private readonly policy: RepeatPolicy;
   private readonly trial: SuspectTrial;
   private readonly deadlineAt: number;
   private readonly timer: NodeJS.Timeout;
   private readonly stall: StallJudge;
   private readonly wait: PlaceWait;
-  private readonly names: ReturnType<typeof createRequestPolicies>['names'];
+  private readonly forecastKeys: ReturnType<
+    typeof createRequestPolicies
+  >['forecastKeys'];
   private isDone = false;
-  /** It is being found out whether its backend server has ended. */
-  private isInDoubt = false;
+  /** Its connection was lost before the response began, and it is not yet known whether the backend server crashed. */
+  private isCrashUndecided = false;
 
   private constructor(private readonly options: ProxiedRequestOptions) {
-    const {request, clock, response: answer} = options;
-    const parts = createRequestPolicies(options);
-    this.deadlineAt = parts.deadlineAt;
-    this.course = parts.course;
-    this.policy = parts.policy;
-    this.names = parts.names;
-    this.stall = parts.stall;
-    this.wait = parts.wait;
+    const {request, clock, response} = options;
+    const policies = createRequestPolicies(options);
+    this.deadlineAt = policies.deadlineAt;
+    this.history = policies.history;
+    this.policy = policies.policy;
+    this.forecastKeys = policies.forecastKeys;
+    this.stall = policies.stall;
+    this.wait = policies.wait;
     this.trial = SuspectTrial.create(options);
     this.relay = ResponseRelay.create({
-      answer,
+      response,
       lastEventId: request.lastEventId,
-      onPassed: hasRoom => this.recordPassed(hasRoom),
+      onForwarded: hasRoom => this.recordForwarded(hasRoom),
     });
     this.sender = RequestSender.create({
-      ...parts,
-      flow: options,
+      ...policies,
+      context: options,
       readLastEventId: () => this.relay.lastEventId,
-      maySend: () => this.maySend,
+      canStillSend: () => this.canStillSend,
       onSending: () => {
         this.wait.end();
         this.relay.reset();
       },
-      onDenied: () => this.handleDenied(),
+      onPermitDenied: () => this.handlePermitDenied(),
       onHead: head => this.handleHead(head),
       onData: chunk => this.handleData(chunk),
       onEnd: end => this.handleEnd(end),
@@ -69,43 +71,43 @@
         this.abandon('the time for the request is over', ERROR_STATUS.timedOut),
       Math.max(0, this.deadlineAt - clock.now()),
     );
-    answer.watchGone(() => this.leave());
+    response.watchDisconnect(() => this.handleDisconnect());
   }
 
   /**
-   * Starts a request.
+   * Starts to proxy a request.
    *
    * @example
-   * const flow = RequestFlow.create(options);
+   * const proxied = ProxiedRequest.create(options);
    */
   static create(options: ProxiedRequestOptions): ProxiedRequest {
-    const flow = new ProxiedRequest(options);
+    const proxied = new ProxiedRequest(options);
     options.budget.recordRequest();
-    flow.sendOn('no backend server can take it now');
-    return flow;
+    proxied.dispatch('no backend server can take it now');
+    return proxied;
   }
 
-  /** The caller has its final answer, or is gone. */
+  /** True once the caller has its final response or has disconnected. */
   get isFinished(): boolean {
     return this.isDone;
   }
 
-  /** Looks whether it must go on waiting or go elsewhere; called every few milliseconds. */
+  /** Advances waits, trials and stall detection; called every few milliseconds. */
   check(now: number): void {
     const {containment, identity} = this.options;
     const {attempt} = this.sender;
     const hasBegun = attempt?.hasStarted ?? false;
-    const standing = hasBegun ? 'free' : containment.find(identity);
-    if (standing === 'convicted') {
-      this.abandon(CONVICTED, ERROR_STATUS.cannotBeRun);
+    const suspicion = hasBegun ? 'free' : containment.find(identity);
+    if (suspicion === 'convicted') {
+      this.abandon(CONVICTED_REASON, ERROR_STATUS.cannotBeRun);
     } else if (this.trial.isUnderWay) {
       this.checkTrial(now);
-    } else if (this.wait.isUnderWay && standing === 'suspected') {
+    } else if (this.wait.isUnderWay && suspicion === 'suspected') {
       this.wait.end();
       this.trial.begin(now);
     } else if (this.wait.isUnderWay) {
       this.checkWaiting(now);
-    } else if (attempt?.isLeftBehind) {
+    } else if (attempt?.isTargetUnavailable) {
       attempt.stop('its backend server takes no new work');
     } else {
       this.checkStall(now);
@@ -113,48 +115,48 @@
   }
 
   /**
-   * Ends it now, whatever its backend server does.
+   * Ends the request now, whatever its backend server does.
    *
-   * @param status what a caller is told whose answer has not begun
+   * @param status sent to the caller if the response has not begun
    */
-  abandon(reason: string, status = this.unansweredStatus): void {
+  abandon(reason: string, status = this.errorStatus): void {
     if (this.isDone) {
       return;
     }
     const {attempt} = this.sender;
     this.markDone();
     attempt?.stop(reason);
-    this.sendFinal(reason, status);
+    this.sendError(reason, status);
   }
 
   private checkWaiting(now: number): void {
     const {wait, sender} = this;
-    const {wasSent} = this.course;
-    const isTurn = (wasSent || wait.isFirst) && !sender.isAskingPermit;
+    const {wasSent} = this.history;
+    const isTurn = (wasSent || wait.isFirst) && !sender.isAwaitingPermit;
     const target = isTurn ? sender.findTarget(wasSent) : undefined;
     if (target) {
       sender.send(target);
-    } else if (!sender.isAskingPermit && !wait.canGoOn(now)) {
+    } else if (!sender.isAwaitingPermit && !wait.canGoOn(now)) {
       wait.end();
-      this.giveUp(sender.explainNoTarget('nobody had a place for it in time'));
+      this.fail(sender.explainNoTarget('nobody had a place for it in time'));
     }
   }
 
-  /** Alone of all suspects at its backend server, or not at all. */
+  /** Sends a suspected request only to a backend server that runs no other suspect. */
   private checkTrial(now: number): void {
     const step = this.trial.check(now, this.canAwaitRepair, () =>
-      this.sender.findTarget(this.course.wasSent),
+      this.sender.findTarget(this.history.wasSent),
     );
     if (step.kind === 'send') {
       this.sender.send(step.target);
     } else if (step.kind === 'free') {
-      this.sendOn('no backend server can take it now');
+      this.dispatch('no backend server can take it now');
     } else if (step.kind === 'over') {
-      this.giveUp('a backend server ended under it, and no other is free');
+      this.fail('a backend server ended under it, and no other is free');
     }
   }
 
-  /** A stream that stopped goes on elsewhere, if it may and somebody can take it. */
+  /** Moves a stalled stream to another backend server, if its policy allows it and one is available. */
   private checkStall(now: number): void {
     const {policy, sender} = this;
     const {attempt} = sender;
@@ -162,27 +164,27 @@
       return;
     }
     const reason = this.stall.findReasonToLeave(attempt, now);
-    // Without a repeat left it is better to wait on than to break off.
+    // Without budget for a retry, waiting is better than cutting the stream.
     if (reason && policy.hasRepeat && sender.findTarget(true, true)) {
       attempt.stop(reason);
     }
   }
 
-  /** What an engine has begun may go on once a group of the model is formed anew. */
+  /** A request that an engine has begun can resume once a new group of the model is formed. */
   private get canAwaitRepair(): boolean {
     return this.options.pool.engine !== undefined && this.policy.hasRun;
   }
 
-  /** Sends to the best target; the first time also waits a little for a place. */
-  private sendOn(whyNot: string): void {
+  /** Sends to the best target; a request that was never sent may first wait for a free slot. */
+  private dispatch(reason: string): void {
     const {wait, sender} = this;
     const {containment, identity, clock} = this.options;
     if (containment.find(identity) !== 'free') {
       this.trial.begin(clock.now());
       return this.check(clock.now());
     }
-    // What has begun elsewhere is worth more than what has not begun at all.
-    const mayQueue = this.course.wasSent;
+    // A request that may already have done work takes precedence over new ones.
+    const mayQueue = this.history.wasSent;
     const isTurn = mayQueue || wait.isFirst;
     const target = isTurn ? sender.findTarget(mayQueue) : undefined;
     if (target) {
@@ -191,49 +193,49 @@
       wait.beginInLine();
     } else if (
       !this.canAwaitRepair ||
-      !wait.beginForRepair(this.course.passedAt)
+      !wait.beginForRepair(this.history.lastForwardedAt)
     ) {
-      this.giveUp(sender.explainNoTarget(whyNot));
+      this.fail(sender.explainNoTarget(reason));
     }
   }
 
-  /** Nothing was held against it while it waited for a permit, and its caller is there. */
-  private get maySend(): boolean {
+  /** True if it is still unfinished, and did not become a suspect without a trial, while it waited for a permit. */
+  private get canStillSend(): boolean {
     const {containment, identity} = this.options;
     const isFree = this.trial.hasPlace || containment.find(identity) === 'free';
     return !this.isDone && isFree;
   }
 
-  private handleDenied(): void {
+  private handlePermitDenied(): void {
     if (this.isDone || this.wait.isUnderWay || this.trial.isUnderWay) {
       return;
     }
     this.trial.end();
-    this.sendOn('no backend server can take it now');
+    this.dispatch('no backend server can take it now');
   }
 
   private handleHead(head: ResponseHead): void {
-    const wrong = this.relay.acceptHead(head);
-    if (wrong) {
-      this.sender.attempt?.stop(wrong);
+    const mismatch = this.relay.acceptHead(head);
+    if (mismatch) {
+      this.sender.attempt?.stop(mismatch);
     }
   }
 
   private handleData(chunk: Buffer): void {
     this.trial.recordBegun();
-    const wrong = this.isDone ? undefined : this.relay.acceptData(chunk);
-    if (wrong) {
-      this.sender.attempt?.stop(wrong);
+    const mismatch = this.isDone ? undefined : this.relay.acceptData(chunk);
+    if (mismatch) {
+      this.sender.attempt?.stop(mismatch);
     }
   }
 
-  private recordPassed(hasRoom: boolean): void {
-    const {response: answer, clock} = this.options;
+  private recordForwarded(hasRoom: boolean): void {
+    const {response, clock} = this.options;
     const {attempt} = this.sender;
-    this.course.recordEvent(clock.now());
+    this.history.recordEvent(clock.now());
     if (!hasRoom && attempt) {
       attempt.pause();
-      answer.watchRoom(() => attempt.resume());
+      response.watchDrain(() => attempt.resume());
     }
   }
 
@@ -245,7 +247,7 @@
       this.wait.recordPlaceFree();
     }
     if (end.isConnectionLost && attempt) {
-      void this.handleBreak(attempt, end.reason);
+      void this.handleConnectionLoss(attempt, end.reason);
     } else if (!this.isDone) {
       this.handleOutcome(end);
     }
@@ -255,50 +257,50 @@
     const {policy} = this;
     if (end.kind === 'not-run') {
       policy.recordRefusal();
-      this.repeat(end.reason, policy.canBeRefusedAgain);
+      this.retry(end.reason, policy.canBeRefusedAgain);
       return;
     }
     policy.recordRun();
     if (end.kind === 'broken') {
-      this.repeat(end.reason, policy.canRunAgain);
+      this.retry(end.reason, policy.canRunAgain);
       return;
     }
-    this.finishWhole(policy.canRunAgain);
+    this.handleComplete(policy.canRunAgain);
   }
 
   /**
-   * What had not begun may be what ended its backend server, so it waits until
-   * that is known; what had begun goes on elsewhere at once.
+   * A request whose response had not begun may have crashed its backend server, so
+   * it waits until that is known. One whose response had begun is retried at once.
    */
-  private async handleBreak(
+  private async handleConnectionLoss(
     {target, hasStarted: hasBegun}: Attempt,
     reason: string,
   ): Promise<void> {
     const {containment, identity, clock} = this.options;
     const {name} = identity;
-    this.course.recordBroken(name);
+    this.history.recordConnectionLoss(name);
     this.trial.recordBreak(clock.now());
     const judged = containment.recordBreak({target, name, hasBegun});
     if (!hasBegun) {
-      this.isInDoubt = true;
+      this.isCrashUndecided = true;
       await judged;
-      this.isInDoubt = false;
+      this.isCrashUndecided = false;
     }
     if (!this.isDone) {
       this.handleOutcome({kind: 'broken', reason});
     }
   }
 
-  private finishWhole(mayRepeat: boolean): void {
+  private handleComplete(mayRetry: boolean): void {
     const {relay} = this;
     const {head} = relay;
     if (!head) {
-      this.giveUp('an answer without a head');
+      this.fail('an answer without a head');
       return;
     }
     if (head.isEventStream) {
-      if (relay.isWithinEvent) {
-        this.repeat('the stream ends within an event', mayRepeat);
+      if (relay.hasPartialEvent) {
+        this.retry('the stream ends within an event', mayRetry);
         return;
       }
       relay.endStream(head);
@@ -308,56 +310,56 @@
     }
     const isFailure = head.status >= 500;
     this.trial.recordWhole();
-    if (isFailure && mayRepeat && this.policy.takeRepeat()) {
-      this.sendOn('no other backend server');
+    if (isFailure && mayRetry && this.policy.takeRepeat()) {
+      this.dispatch('no other backend server');
       return;
     }
-    relay.sendHeld(head);
+    relay.sendBuffered(head);
     this.finish(head.status);
   }
 
-  private repeat(reason: string, isAllowed: boolean): void {
+  private retry(reason: string, isAllowed: boolean): void {
     if (isAllowed && this.policy.takeRepeat()) {
-      this.sendOn(reason);
+      this.dispatch(reason);
     } else {
-      this.giveUp(reason);
+      this.fail(reason);
     }
   }
 
-  /** The final answer, at once. */
-  private giveUp(reason: string): void {
+  /** Ends the request with an error. */
+  private fail(reason: string): void {
     this.markDone();
-    this.sendFinal(reason, this.unansweredStatus);
+    this.sendError(reason, this.errorStatus);
   }
 
-  /** Only what has not run may be called so. */
-  private get unansweredStatus(): number {
+  /** 503 only for a request that was certainly not executed. */
+  private get errorStatus(): number {
     const {attempt} = this.sender;
     const isSent = attempt !== undefined && !attempt.isWaiting;
-    const mayHaveRun = this.policy.hasRun || isSent || this.isInDoubt;
+    const mayHaveRun = this.policy.hasRun || isSent || this.isCrashUndecided;
     return mayHaveRun ? ERROR_STATUS.failed : ERROR_STATUS.notRun;
   }
 
-  private sendFinal(reason: string, status: number): void {
-    const {response: answer, request} = this.options;
-    const told = {requestId: request.id, reason, status, wait: this.wait};
-    const end = sendErrorResponse({answer, ...told});
-    this.tell(end.outcome, reason, end.status);
+  private sendError(reason: string, status: number): void {
+    const {response, request} = this.options;
+    const details = {requestId: request.id, reason, status, wait: this.wait};
+    const end = sendErrorResponse({response, ...details});
+    this.report(end.outcome, reason, end.status);
   }
 
-  private leave(): void {
+  private handleDisconnect(): void {
     if (this.isDone) {
       return;
     }
     const {attempt} = this.sender;
     this.markDone();
-    attempt?.stop('the caller left');
-    this.tell('gone', 'the caller left', 0);
+    attempt?.stop('the caller disconnected');
+    this.report('gone', 'the caller disconnected', 0);
   }
 
   private finish(status: number): void {
     this.markDone();
-    this.tell('answered', 'whole', status);
+    this.report('answered', 'whole', status);
   }
 
   private markDone(): void {
@@ -367,16 +369,16 @@
     clearTimeout(this.timer);
   }
 
-  private tell(
+  private report(
     outcome: RequestResult['outcome'],
     reason: string,
     status: number,
   ): void {
     const {clock, onDone, forecast} = this.options;
-    const {workMs} = this.course;
-    if (workMs !== undefined) {
-      forecast.recordWork(this.names.work, workMs);
+    const {timeToFirstEventMs} = this.history;
+    if (timeToFirstEventMs !== undefined) {
+      forecast.recordWork(this.forecastKeys.work, timeToFirstEventMs);
     }
-    onDone({outcome, reason, status, ...this.course.describe(clock.now())});
+    onDone({outcome, reason, status, ...this.history.describe(clock.now())});
   }
 }
--- a/src/gateway/proxied_request_options.ts
+++ b/src/gateway/proxied_request_options.ts
@@ -1,4 +1,4 @@
-/** What carrying one request through takes. */
+/** The request, its route and the components of the gateway that proxy it. */
 import {Clock} from '../common/clock';
 import {GatewayRules} from '../protocol/gateway_rules';
 import {HttpOrigins} from '../transport/http_origins';
@@ -13,7 +13,6 @@
 import {RequestIdentity} from './request_identity';
 import {TargetBoard} from './target_board';
 
-/** What a flow needs. */
 export interface ProxiedRequestOptions {
   readonly request: GatewayRequest;
   readonly identity: RequestIdentity;
@@ -21,9 +20,9 @@
   readonly route: GatewayRules['routes'][number];
   readonly pool: GatewayRules['pools'][number];
   readonly workspace?: string;
-  /** Connections that this gateway may open to one backend server. */
+  /** Maximum number of connections from this gateway to one backend server. */
   readonly maxConnections: number;
-  /** On this process's monotonic clock. */
+  /** In milliseconds of this process's monotonic clock. */
   readonly arrivedAt: number;
   readonly response: ResponseWriter;
   readonly origins: HttpOrigins;
@@ -34,6 +33,6 @@
   readonly signals: BackendSignals;
   readonly dialect: HttpDialect;
   readonly clock: Clock;
-  /** Told once, when the caller has its final answer or is gone. */
+  /** Called once, when the caller has its final response or has disconnected. */
   readonly onDone: (result: RequestResult) => void;
 }
--- a/src/gateway/request_history.ts
+++ b/src/gateway/request_history.ts
@@ -1,68 +1,68 @@
-/** What happened to one request on its way, for the log. */
+/** Collects what happened to one request, for the log and the forecast of slots. */
 export class RequestHistory {
-  private readonly tried: string[] = [];
+  private readonly targets: string[] = [];
   private eventCount = 0;
   private firstEventAt: number | undefined;
   private sentAt = 0;
-  /** When its caller last got something; its arrival before that. */
-  passedAt: number;
+  /** When an event was last forwarded to the caller; the arrival time before the first. */
+  lastForwardedAt: number;
   private runningAtTarget = -1;
   private identity: string | undefined;
 
   private constructor(private readonly arrivedAt: number) {
-    this.passedAt = arrivedAt;
+    this.lastForwardedAt = arrivedAt;
   }
 
   /**
-   * Creates the course of a request that was sent nowhere yet.
+   * Creates the history of a request that has not been sent yet.
    *
    * @param arrivedAt milliseconds of the process's monotonic clock
    * @example
-   * const course = FlowCourse.create(clock.now());
+   * const history = RequestHistory.create(clock.now());
    */
   static create(arrivedAt: number): RequestHistory {
     return new RequestHistory(arrivedAt);
   }
 
-  /** It was sent somewhere at least once. */
+  /** True once it was sent to at least one backend server. */
   get wasSent(): boolean {
-    return this.tried.length > 0;
+    return this.targets.length > 0;
   }
 
-  /** Notes where it is sent, and what is known to run there. */
+  /** Records the target of an attempt and the number of requests known to run there. */
   recordTarget(incarnation: string, running: number, now: number): void {
-    this.tried.push(incarnation);
+    this.targets.push(incarnation);
     this.runningAtTarget = running;
     this.sentAt = now;
   }
 
-  /** From the only sending to the first event, in milliseconds; undefined where that says nothing of an engine's pace. */
-  get workMs(): number | undefined {
-    const wasSentOnce = this.tried.length === 1;
+  /** From sending to the first event, in milliseconds; undefined unless it was sent exactly once, as other times do not show an engine's speed. */
+  get timeToFirstEventMs(): number | undefined {
+    const wasSentOnce = this.targets.length === 1;
     return wasSentOnce && this.firstEventAt !== undefined
       ? this.firstEventAt - this.sentAt
       : undefined;
   }
 
-  /** Notes an event that was passed on. */
+  /** Records that an event was forwarded to the caller. */
   recordEvent(now: number): void {
     this.eventCount += 1;
     this.firstEventAt ??= now;
-    this.passedAt = now;
+    this.lastForwardedAt = now;
   }
 
-  /** Notes that a connection broke under it, and what tells it apart when it comes again. */
-  recordBroken(identity: string): void {
+  /** Records a lost connection and the identity by which a repetition of the request is recognized. */
+  recordConnectionLoss(identity: string): void {
     this.identity = identity;
   }
 
-  /** All of it, at its end. */
+  /** Returns the fields for the log, at the end of the request. */
   describe(now: number) {
     const {arrivedAt, firstEventAt} = this;
     const firstEventMs =
       firstEventAt === undefined ? -1 : Math.round(firstEventAt - arrivedAt);
     return {
-      targets: this.tried,
+      targets: this.targets,
       events: this.eventCount,
       firstEventMs,
       runningAtTarget: this.runningAtTarget,
--- a/src/gateway/request_identity.ts
+++ b/src/gateway/request_identity.ts
@@ -1,32 +1,31 @@
-/** What makes a request the same one when its caller sends it again. */
+/** Recognizes repetitions of a request by a fingerprint of its caller, path and body. */
 import {createHash} from 'node:crypto';
 import {GatewayRequest} from './gateway_request';
 
-/** Hexadecimal digits that tell callers apart, and requests of one caller. */
+/** Number of hexadecimal digits that distinguish callers, and requests of one caller. */
 const CALLER_DIGITS = 8;
 const REQUEST_DIGITS = 24;
 
-/** What an identity is made from. */
 interface IdentityInput {
   readonly request: Pick<GatewayRequest, 'host' | 'method' | 'path'>;
-  /** Whose request it is; undefined for callers who need no key. */
+  /** The caller's workspace; undefined for callers that need no key. */
   readonly workspace?: string;
   readonly body: Buffer;
 }
 
 /**
- * Names a request by caller, path and body, under whatever id and at whichever
- * gateway it comes. It is worked out when it is first wanted, since most
- * requests never need it.
+ * Identifies a request by caller, path and body, independent of its request id and
+ * of the gateway that receives it. It is computed on first use, since most requests
+ * never need it.
  */
 export class RequestIdentity {
-  private text: string | undefined;
-  private callerText: string | undefined;
+  private cachedName: string | undefined;
+  private cachedCaller: string | undefined;
 
   private constructor(private readonly input: IdentityInput) {}
 
   /**
-   * Creates the identity of a request whose body is there.
+   * Creates the identity of a request whose body has been received.
    *
    * @example
    * const identity = RequestIdentity.create({request, workspace: 'w', body});
@@ -36,21 +35,21 @@
     return new RequestIdentity(input);
   }
 
-  /** The part of a name that tells its caller. */
+  /** Returns the part of a name that identifies the caller. */
   static readCaller(this: void, name: string): string {
     return name.slice(0, CALLER_DIGITS);
   }
 
-  /** A digest of the caller alone, which costs nothing of the body. */
+  /** A digest of the caller alone, which needs no hash of the body. */
   get caller(): string {
-    this.callerText ??= computeCaller(this.input.workspace);
-    return this.callerText;
+    this.cachedCaller ??= computeCaller(this.input.workspace);
+    return this.cachedCaller;
   }
 
-  /** The digest of the caller, then that of the request: nobody can have another caller's request refused. */
+  /** The caller's digest followed by the request's, so that no caller can cause the refusal of another's request. */
   get name(): string {
-    this.text ??= this.compute();
-    return this.text;
+    this.cachedName ??= this.compute();
+    return this.cachedName;
   }
 
   private compute(): string {
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -1,34 +1,34 @@
-/** The lines that a gateway writes about requests: what decided each one, with its inputs. */
+/** Logs the outcome of each request together with the inputs of the decision. */
 import {EventRing} from '../common/event_ring';
 import {RequestResult} from './request_result';
 import {GatewayRequest} from './gateway_request';
 import {Refusal} from './refusal';
 import {ControlPoller} from './control_poller';
 
-/** An age that stands for "never", where a line needs a number. */
-const NEVER_MS = 1e9;
+/** Logged as the age of rules that were never confirmed, since the field is a number. */
+const UNCONFIRMED_AGE_MS = 1e9;
 
-/** Writes one line for each request. */
+/** Writes one event per request. */
 export class RequestLog {
   private constructor(
     private readonly events: EventRing,
-    private readonly feed: Pick<ControlPoller, 'index' | 'ageMs'>,
+    private readonly poller: Pick<ControlPoller, 'index' | 'confirmationAgeMs'>,
   ) {}
 
   /**
-   * Creates a log that names the rules which `feed` holds.
+   * Creates a log that records the rules version which `poller` holds.
    *
    * @example
-   * const log = GatewayLog.create(events, feed);
+   * const log = RequestLog.create(events, poller);
    */
   static create(
     events: EventRing,
-    feed: Pick<ControlPoller, 'index' | 'ageMs'>,
+    poller: Pick<ControlPoller, 'index' | 'confirmationAgeMs'>,
   ): RequestLog {
-    return new RequestLog(events, feed);
+    return new RequestLog(events, poller);
   }
 
-  /** A request that was refused before it had a route and a place. */
+  /** Records a request that was refused at admission. */
   recordRefusal(request: GatewayRequest, refusal: Refusal): void {
     this.events.record({
       type: 'request-refused',
@@ -37,13 +37,15 @@
       reason: refusal.reason,
       details: {
         status: refusal.status,
-        rules: this.feed.index?.rules.version ?? 0,
-        confirmedMsAgo: Math.round(Math.min(this.feed.ageMs, NEVER_MS)),
+        rules: this.poller.index?.rules.version ?? 0,
+        confirmedMsAgo: Math.round(
+          Math.min(this.poller.confirmationAgeMs, UNCONFIRMED_AGE_MS),
+        ),
       },
     });
   }
 
-  /** A request that was carried through, to whatever end. */
+  /** Records the outcome of a request that was admitted. */
   recordResult(
     request: GatewayRequest,
     route: string,
@@ -61,7 +63,7 @@
         ...figures,
         model: request.model ?? '',
         promptTokens: request.promptTokens,
-        rules: this.feed.index?.rules.version ?? 0,
+        rules: this.poller.index?.rules.version ?? 0,
         identity,
       },
     });
--- a/src/gateway/request_result.ts
+++ b/src/gateway/request_result.ts
@@ -1,18 +1,18 @@
-/** What became of a request, for the log. */
+/** The outcome of a request; its fields are written to the log. */
 export interface RequestResult {
   readonly outcome: 'answered' | 'refused' | 'failed' | 'gone' | 'contained';
   readonly reason: string;
-  /** 0 when no status could be told any more. */
+  /** 0 when no status could be sent any more. */
   readonly status: number;
-  /** Incarnations that it was sent to, in order. */
+  /** Incarnations of the backend servers that it was sent to, in order. */
   readonly targets: readonly string[];
-  /** Events of a stream that were passed on. */
+  /** Number of events forwarded to the caller. */
   readonly events: number;
-  /** From arrival to the first event of a stream; -1 without one. */
+  /** From arrival to the first forwarded event; -1 if there was none. */
   readonly firstEventMs: number;
-  /** Requests known to run at the last target when it was chosen; -1 when none was. */
+  /** Requests known to run at the last target when it was chosen; -1 if none was chosen. */
   readonly runningAtTarget: number;
   readonly tookMs: number;
-  /** What tells it as the same request when its caller repeats it; only where a connection broke. */
+  /** Identifies repetitions of the request by its caller; set only if a connection was lost. */
   readonly identity?: string;
 }
--- a/src/gateway/request_sender.ts
+++ b/src/gateway/request_sender.ts
@@ -1,4 +1,4 @@
-/** Sends one request to backend servers, one after the other, as far as their limits allow. */
+/** Chooses backend servers for one request and sends it to one at a time, within their rate limits. */
 import {GatewayTarget} from '../protocol/gateway_target';
 import {Attempt} from './attempt';
 import {createTargetKey} from './create_target_key';
@@ -6,56 +6,55 @@
 import {ProxiedRequestOptions} from './proxied_request_options';
 import {SendPermit} from './send_permit';
 
-type AttemptHooks = Pick<
+type AttemptCallbacks = Pick<
   Parameters<typeof Attempt.create>[0],
   'onHead' | 'onData' | 'onEnd'
 >;
 
-/** What sending takes beside the request itself. */
-interface FlowSenderOptions extends AttemptHooks {
-  readonly flow: ProxiedRequestOptions;
-  readonly course: RequestHistory;
-  /** When the caller gives up, on the gateway's clock. */
+interface FlowSenderOptions extends AttemptCallbacks {
+  readonly context: ProxiedRequestOptions;
+  readonly history: RequestHistory;
+  /** When the caller gives up, in milliseconds of the gateway's monotonic clock. */
   readonly deadlineAt: number;
   readonly readLastEventId: () => string | undefined;
-  /** What was decided when a permit was asked for still holds. */
-  readonly maySend: () => boolean;
+  /** False if the request must not be sent any more, though a permit was granted. */
+  readonly canStillSend: () => boolean;
   readonly onSending: () => void;
-  /** It was not sent: its backend server takes nothing now, by its limit. */
-  readonly onDenied: () => void;
+  /** Called when the request was not sent: no permit was granted, or it came too late. */
+  readonly onPermitDenied: () => void;
 }
 
-/** Knows where a request was sent and where it is. */
+/** Holds the current attempt and the backend servers that were tried. */
 export class RequestSender {
-  /** Where it is now. */
+  /** The attempt under way. */
   attempt: Attempt | undefined;
   private readonly tried = new Set<string>();
-  private isAsking = false;
+  private hasPendingPermit = false;
 
   private constructor(private readonly options: FlowSenderOptions) {}
 
   /**
-   * Creates a sender that has sent nothing.
+   * Creates a sender that has not sent the request yet.
    *
    * @example
-   * const sender = FlowSender.create({flow, course, deadlineAt, readLastEventId, maySend, onSending, onDenied, onHead, onData, onEnd});
+   * const sender = RequestSender.create({context, history, deadlineAt, readLastEventId, canStillSend, onSending, onPermitDenied, onHead, onData, onEnd});
    */
   static create(options: FlowSenderOptions): RequestSender {
     return new RequestSender(options);
   }
 
-  /** It waits for the leader's word on whether it may be sent. */
-  get isAskingPermit(): boolean {
-    return this.isAsking;
+  /** True while it waits for the control leader to grant a permit. */
+  get isAwaitingPermit(): boolean {
+    return this.hasPendingPermit;
   }
 
   /**
-   * One of the least busy backend servers that were not tried.
+   * Finds one of the least loaded backend servers that were not tried yet.
    *
-   * @param isSure leaves out those that may deny it
+   * @param isSure leaves out backend servers that may deny the request
    */
   findTarget(mayQueue: boolean, isSure = false): GatewayTarget | undefined {
-    const {request, pool, board} = this.options.flow;
+    const {request, pool, board} = this.options.context;
     return board.choose({
       pool: pool.name,
       mayQueue,
@@ -65,46 +64,47 @@
     });
   }
 
-  /** Adds to a reason what backend servers say of themselves. */
+  /** Appends to a reason why backend servers accept nothing now, if they told so. */
   explainNoTarget(reason: string): string {
-    const {pool, request, board, signals} = this.options.flow;
+    const {pool, request, board, signals} = this.options.context;
     const model = pool.engine ? request.model : undefined;
-    const known = board.listIncarnations({pool: pool.name, model});
-    const closed = signals.explainClosed(known);
-    return closed === undefined ? reason : `${reason}; ${closed}`;
+    const incarnations = board.listIncarnations({pool: pool.name, model});
+    const explanation = signals.explainClosed(incarnations);
+    return explanation === undefined ? reason : `${reason}; ${explanation}`;
   }
 
   send(target: GatewayTarget): void {
-    const {limits} = this.options.flow.signals;
+    const {limits} = this.options.context.signals;
     if (limits.isLimited(target.incarnation)) {
-      void this.sendByPermit(target);
+      void this.sendWithPermit(target);
     } else {
-      this.begin(target);
+      this.startAttempt(target);
     }
   }
 
-  private async sendByPermit(target: GatewayTarget): Promise<void> {
-    const {flow, maySend, onDenied} = this.options;
-    this.isAsking = true;
-    const permit = await flow.signals.limits.askPermit(target.incarnation);
-    this.isAsking = false;
-    if (permit && flow.board.has(target.incarnation) && maySend()) {
-      this.begin(target, permit);
+  private async sendWithPermit(target: GatewayTarget): Promise<void> {
+    const {context, canStillSend, onPermitDenied} = this.options;
+    this.hasPendingPermit = true;
+    const permit = await context.signals.limits.askPermit(target.incarnation);
+    this.hasPendingPermit = false;
+    if (permit && context.board.has(target.incarnation) && canStillSend()) {
+      this.startAttempt(target, permit);
     } else {
-      onDenied();
+      onPermitDenied();
     }
   }
 
-  private begin(target: GatewayTarget, permit?: SendPermit): void {
-    const {flow, course, deadlineAt, readLastEventId, onSending} = this.options;
-    const {board, clock} = flow;
+  private startAttempt(target: GatewayTarget, permit?: SendPermit): void {
+    const {context, history, deadlineAt, readLastEventId, onSending} =
+      this.options;
+    const {board, clock} = context;
     onSending();
     this.tried.add(createTargetKey(target));
     const {incarnation} = target;
     const running = board.countRunning(incarnation);
-    course.recordTarget(incarnation, running, clock.now());
+    history.recordTarget(incarnation, running, clock.now());
     this.attempt = Attempt.create({
-      ...flow,
+      ...context,
       ...this.options,
       target,
       permit,
--- a/src/gateway/response_head.ts
+++ b/src/gateway/response_head.ts
@@ -1,29 +1,29 @@
-/** The head of a backend server's answer. */
+/** Status and headers of a backend server's response, as the gateway interprets them. */
 export interface ResponseHead {
   readonly status: number;
-  /** Headers for the caller, by lower-case name. */
+  /** Headers to forward to the caller, by lower-case name. */
   readonly headers: Readonly<Record<string, string>>;
-  /** The request that it answers, by its own word. */
+  /** The id of the request that the response says it answers. */
   readonly requestId?: string;
-  /** The backend server vouches for this answer. */
+  /** The response carries the seal header, with which the backend server vouches for it. */
   readonly isSealed: boolean;
-  /** The backend server says that the request has not run. */
+  /** The backend server states that it has not executed the request. */
   readonly isNotRun: boolean;
-  /** The address is another start of a backend server now. */
+  /** Another incarnation of a backend server now has this address, so the request was misdirected. */
   readonly isWrongIncarnation: boolean;
   /**
-   * The answer says where it ends. Without it only the end of the connection
-   * does, which a crash ends as well.
+   * The body is delimited by `content-length` or chunked encoding. Otherwise it ends
+   * with the connection, which a crash closes as well.
    */
   readonly isFramed: boolean;
-  /** The body is a series of events. */
+  /** The body is a stream of server-sent events. */
   readonly isEventStream: boolean;
-  /** Requests a second that the backend server takes from all gateways together. */
+  /** Requests per second that the backend server accepts from all gateways together. */
   readonly limitPerSecond?: number;
-  /** How long the backend server, which turned the request away, wants nothing from this gateway. */
+  /** How long this gateway should send nothing more, as told by a backend server that refused the request. */
   readonly restMs?: number;
-  /** The backend server says that it will end. */
+  /** The backend server announces that it is shutting down. */
   readonly isLeaving?: boolean;
-  /** A header that cannot mean what its name says, with its value. */
+  /** Name and value of a header whose value is invalid. */
   readonly unread?: string;
 }
--- a/src/gateway/response_relay.ts
+++ b/src/gateway/response_relay.ts
@@ -1,107 +1,108 @@
-/** Passes on what backend servers answer: streams event by event, everything else as a whole. */
+/** Forwards response bodies to the caller: streams event by event, everything else once it is complete. */
 import {ResponseHead} from './response_head';
 import {ResponseWriter} from './response_writer';
 import {EventStreamSplitter} from './event_stream_splitter';
 import {BufferedBody} from './buffered_body';
 
-/** What a relay works with. */
 interface AnswerRelayOptions {
-  readonly answer: ResponseWriter;
-  /** The last event that the caller had before. */
+  readonly response: ResponseWriter;
+  /** The last event that the caller received before this request. */
   readonly lastEventId: string | undefined;
-  /** Told of each event that was passed on; false when the caller does not keep up. */
-  readonly onPassed: (hasRoom: boolean) => void;
+  /** Called for each forwarded event; `hasRoom` is false when the caller reads too slowly. */
+  readonly onForwarded: (hasRoom: boolean) => void;
 }
 
-/** One answer, made from what one or several runs bring. */
+/** Assembles one response from one or more attempts. */
 export class ResponseRelay {
-  private firstHead: ResponseHead | undefined;
+  private callerHead: ResponseHead | undefined;
   private splitter = EventStreamSplitter.create();
-  private held = BufferedBody.create();
-  private newestEventId: string | undefined;
+  private buffered = BufferedBody.create();
+  private lastForwardedId: string | undefined;
 
   private constructor(private readonly options: AnswerRelayOptions) {
-    this.newestEventId = options.lastEventId;
+    this.lastForwardedId = options.lastEventId;
   }
 
   /**
-   * Creates a relay that nothing came through.
+   * Creates a relay that has forwarded nothing.
    *
    * @example
-   * const relay = AnswerRelay.create({answer, lastEventId, onPassed});
+   * const relay = ResponseRelay.create({response, lastEventId, onForwarded});
    */
   static create(options: AnswerRelayOptions): ResponseRelay {
     return new ResponseRelay(options);
   }
 
-  /** The head that the caller gets. */
+  /** The head that the caller receives. */
   get head(): ResponseHead | undefined {
-    return this.firstHead;
+    return this.callerHead;
   }
 
-  /** The last event that the caller has. */
+  /** The id of the last event that was sent to the caller. */
   get lastEventId(): string | undefined {
-    return this.newestEventId;
+    return this.lastForwardedId;
   }
 
-  /** The stream stopped within an event. */
-  get isWithinEvent(): boolean {
+  /** True when part of an event is pending. */
+  get hasPartialEvent(): boolean {
     return this.splitter.pendingBytes > 0;
   }
 
-  /** Drops what a run left unfinished: another one begins. */
+  /** Discards what the last attempt left incomplete, before the next one. */
   reset(): void {
     this.splitter = EventStreamSplitter.create();
-    this.held = BufferedBody.create();
+    this.buffered = BufferedBody.create();
   }
 
-  /** Takes the head of a run; tells why it does not fit what the caller has. */
+  /** Accepts the head of an attempt; returns a reason when it cannot continue what the caller has received. */
   acceptHead(head: ResponseHead): string | undefined {
-    const {answer} = this.options;
-    if (answer.hasBegun && !(head.isEventStream && head.isFramed)) {
+    const {response} = this.options;
+    if (response.hasSentHead && !(head.isEventStream && head.isFramed)) {
       return `status ${head.status} in place of the rest`;
     }
-    // A resumed stream keeps the head of its first backend server.
-    if (!answer.hasBegun) {
-      this.firstHead = head;
+    // A resumed stream keeps the head that was already sent.
+    if (!response.hasSentHead) {
+      this.callerHead = head;
     }
     return undefined;
   }
 
-  /** Takes part of a body; tells why it cannot be passed on. */
+  /** Accepts part of a body; returns a reason when it cannot be forwarded. */
   acceptData(chunk: Buffer): string | undefined {
-    if (this.firstHead?.isEventStream) {
+    if (this.callerHead?.isEventStream) {
       this.splitter
         .split(chunk)
-        .forEach(event => this.passEvent(event.bytes, event.id));
+        .forEach(event => this.forwardEvent(event.bytes, event.id));
       return undefined;
     }
-    return this.held.add(chunk) ? undefined : 'the answer is too large to hold';
+    return this.buffered.add(chunk)
+      ? undefined
+      : 'the answer is too large to hold';
   }
 
-  /** Ends a stream that is whole. */
+  /** Ends a complete stream. */
   endStream(head: ResponseHead): void {
-    const {answer} = this.options;
-    if (!answer.hasBegun) {
-      answer.begin(head);
+    const {response} = this.options;
+    if (!response.hasSentHead) {
+      response.sendHead(head);
     }
-    answer.end();
+    response.end();
   }
 
-  /** Sends an answer that was held until it was whole. */
-  sendHeld(head: ResponseHead): void {
-    this.options.answer.sendWhole(head, this.held.copyWhole());
+  /** Sends a response that was buffered until it was complete. */
+  sendBuffered(head: ResponseHead): void {
+    this.options.response.sendComplete(head, this.buffered.copyBytes());
   }
 
-  private passEvent(bytes: Buffer, id: string | undefined): void {
-    const {answer, onPassed} = this.options;
-    if (!this.firstHead || answer.isGone) {
+  private forwardEvent(bytes: Buffer, id: string | undefined): void {
+    const {response, onForwarded} = this.options;
+    if (!this.callerHead || response.isDisconnected) {
       return;
     }
-    if (!answer.hasBegun) {
-      answer.begin(this.firstHead);
+    if (!response.hasSentHead) {
+      response.sendHead(this.callerHead);
     }
-    this.newestEventId = id ?? this.newestEventId;
-    onPassed(answer.write(bytes));
+    this.lastForwardedId = id ?? this.lastForwardedId;
+    onForwarded(response.write(bytes));
   }
 }
--- a/src/gateway/response_writer.ts
+++ b/src/gateway/response_writer.ts
@@ -1,55 +1,55 @@
-/** Writes one answer to one caller: a backend server's own, or a refusal. */
+/** Writes the HTTP response to one caller: a backend server's response, or an error of the gateway. */
 import {ServerResponse} from 'node:http';
 import {ResponseHead} from './response_head';
 
 const MS_PER_SECOND = 1_000;
 
-/** An answer of the gateway itself. */
-interface OwnAnswer {
+/** An error response that the gateway generates itself. */
+interface ErrorResponse {
   readonly status: number;
   readonly reason: string;
-  /** When the caller may try again; only where nothing has run. */
+  /** When the caller may retry; set only for a request that was not executed. */
   readonly retryAfterMs?: number;
 }
 
-/** Everything that leaves on one response. */
+/** The only writer of one `ServerResponse`. */
 export class ResponseWriter {
-  private onRoom: (() => void) | undefined;
-  private isUnframed = false;
+  private onDrain: (() => void) | undefined;
+  private endsWithConnection = false;
 
   private constructor(
     private readonly response: ServerResponse,
     private readonly requestIdHeader: string,
-    private readonly isLeaving: () => boolean,
+    private readonly isStopping: () => boolean,
   ) {}
 
   /**
-   * Wraps a response whose headers were not sent.
+   * Wraps a response whose headers have not been sent.
    *
-   * @param isLeaving true while this gateway stops, so that connections end
+   * @param isStopping true while this gateway stops, so that connections are not kept alive
    * @example
-   * const answer = CallerAnswer.create(response, 'request-id', () => false);
+   * const writer = ResponseWriter.create(response, 'request-id', () => false);
    */
   static create(
     response: ServerResponse,
     requestIdHeader: string,
-    isLeaving: () => boolean,
+    isStopping: () => boolean,
   ): ResponseWriter {
-    return new ResponseWriter(response, requestIdHeader, isLeaving);
+    return new ResponseWriter(response, requestIdHeader, isStopping);
   }
 
-  /** The head has left: the status cannot change any more. */
-  get hasBegun(): boolean {
+  /** True once the head is sent and the status can no longer change. */
+  get hasSentHead(): boolean {
     return this.response.headersSent;
   }
 
-  /** The caller went away before the end. */
-  get isGone(): boolean {
+  /** True when the caller disconnected before the response was complete. */
+  get isDisconnected(): boolean {
     return this.response.destroyed && !this.response.writableFinished;
   }
 
-  /** Calls back once if the caller goes away before the end. */
-  watchGone(callback: () => void): void {
+  /** Calls back once if the caller disconnects before the response is complete. */
+  watchDisconnect(callback: () => void): void {
     this.response.once('close', () => {
       if (!this.response.writableFinished) {
         callback();
@@ -58,51 +58,51 @@
   }
 
   /** Sends the head of a stream. */
-  begin(head: ResponseHead): void {
+  sendHead(head: ResponseHead): void {
     this.prepareConnection();
-    this.leaveUnframed(head);
+    this.avoidChunkedEncoding(head);
     this.response.writeHead(head.status, head.headers);
   }
 
-  /** Sends one part of a stream; false when the caller does not keep up. */
+  /** Sends part of a stream; false when the write buffer is full. */
   write(bytes: Buffer): boolean {
     return this.response.write(bytes);
   }
 
-  /** Calls back once when the caller has taken what was sent; the newest is told. */
-  watchRoom(callback: () => void): void {
-    if (!this.onRoom) {
+  /** Calls back once when the write buffer has drained; a later callback replaces an earlier one. */
+  watchDrain(callback: () => void): void {
+    if (!this.onDrain) {
       this.response.once('drain', () => {
-        const told = this.onRoom;
-        this.onRoom = undefined;
-        told?.();
+        const callback = this.onDrain;
+        this.onDrain = undefined;
+        callback?.();
       });
     }
-    this.onRoom = callback;
+    this.onDrain = callback;
   }
 
-  /** Ends a stream that is whole. */
+  /** Ends a complete stream. */
   end(): void {
     this.response.end();
   }
 
-  /** Sends a whole answer of a backend server. */
-  sendWhole(head: ResponseHead, body: Buffer): void {
+  /** Sends a complete response of a backend server. */
+  sendComplete(head: ResponseHead, body: Buffer): void {
     this.prepareConnection();
-    this.leaveUnframed(head);
+    this.avoidChunkedEncoding(head);
     const length = {'content-length': String(body.length)};
     const added = head.isFramed ? length : {};
     this.response.writeHead(head.status, {...head.headers, ...added});
     this.response.end(body);
   }
 
-  /** Sends an answer of the gateway itself. */
-  sendOwn(answer: OwnAnswer, requestId: string | undefined): void {
+  /** Sends an error of the gateway, unless a response was begun or the caller has disconnected. */
+  sendError(error: ErrorResponse, requestId: string | undefined): void {
     if (this.response.headersSent || this.response.destroyed) {
       return;
     }
     this.prepareConnection();
-    const body = Buffer.from(`${answer.reason}\n`);
+    const body = Buffer.from(`${error.reason}\n`);
     const headers: Record<string, string> = {
       'content-type': 'text/plain',
       'content-length': String(body.length),
@@ -110,40 +110,41 @@
     if (requestId !== undefined) {
       headers[this.requestIdHeader] = requestId;
     }
-    if (answer.retryAfterMs !== undefined) {
-      headers['retry-after'] = (answer.retryAfterMs / MS_PER_SECOND).toFixed(3);
+    if (error.retryAfterMs !== undefined) {
+      headers['retry-after'] = (error.retryAfterMs / MS_PER_SECOND).toFixed(3);
     }
-    this.response.writeHead(answer.status, headers);
+    this.response.writeHead(error.status, headers);
     this.response.end(body);
   }
 
   /**
-   * Breaks an answer off: nothing else tells the caller that it is not whole. One
-   * without a length or chunks ends with its connection, so only a reset tells.
+   * Destroys the connection, which tells the caller that the response is truncated.
+   * One without a length or chunks ends when its connection closes in order, so only
+   * a TCP reset marks it as truncated.
    */
-  breakOff(): void {
-    if (this.isUnframed) {
+  cancel(): void {
+    if (this.endsWithConnection) {
       this.response.socket?.resetAndDestroy();
     }
     this.response.destroy();
   }
 
-  /** Calls back once when its last byte has left, or nothing more can. */
-  watchEnd(callback: () => void): void {
+  /** Calls back once when the last byte is sent or the connection has closed. */
+  watchClose(callback: () => void): void {
     this.response.once('close', callback);
   }
 
-  /** What may not be whole is not given an end that says that it is. */
-  private leaveUnframed(head: ResponseHead): void {
+  /** Keeps Node from adding chunked encoding, whose last chunk would mark a possibly truncated body as complete. */
+  private avoidChunkedEncoding(head: ResponseHead): void {
     if (!head.isFramed) {
-      this.isUnframed = true;
+      this.endsWithConnection = true;
       this.response.useChunkedEncodingByDefault = false;
       this.response.shouldKeepAlive = false;
     }
   }
 
   private prepareConnection(): void {
-    if (this.isLeaving()) {
+    if (this.isStopping()) {
       this.response.shouldKeepAlive = false;
     }
   }
--- a/src/gateway/route_index.ts
+++ b/src/gateway/route_index.ts
@@ -1,4 +1,4 @@
-/** Finds routes, workspaces and pools of one version of the rules. */
+/** Looks up routes, workspaces and pools in one version of the rules. */
 import {GatewayRules} from '../protocol/gateway_rules';
 import {computeDigest} from '../protocol/compute_digest';
 
@@ -6,7 +6,7 @@
 type Pool = GatewayRules['pools'][number];
 type Workspace = NonNullable<GatewayRules['workspaces']>[number];
 
-/** Look-ups made ready once for each version. */
+/** Indexes that are built once for each version. */
 export class RouteIndex {
   private readonly routesByHost = new Map<string, Route[]>();
   private readonly workspaceByHash = new Map<string, Workspace>();
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Prepares the look-ups.
+   * Builds the indexes.
    *
    * @example
    * const index = RouteIndex.create(rules);
@@ -43,7 +43,7 @@
     return new RouteIndex(rules);
   }
 
-  /** The route with the longest prefix of a path. */
+  /** Returns the route with the longest prefix that matches a path. */
   findRoute(host: string, path: string): Route | undefined {
     const [pathOnly] = path.split('?', 1);
     return this.routesByHost
@@ -55,7 +55,7 @@
     return this.pools.get(name);
   }
 
-  /** True when requests need a key at all. */
+  /** True if the rules define workspaces; requests to routes that are not anonymous need a key then. */
   get hasWorkspaces(): boolean {
     return this.rules.workspaces !== undefined;
   }
--- a/src/gateway/send_error_response.ts
+++ b/src/gateway/send_error_response.ts
@@ -3,37 +3,36 @@
 import {RequestResult} from './request_result';
 import {PlaceWait} from './place_wait';
 
-/** What a caller is told that gets no answer of a backend server. */
-interface FinalAnswer {
-  readonly answer: ResponseWriter;
+interface ErrorResponseInput {
+  readonly response: ResponseWriter;
   readonly requestId: string;
   readonly reason: string;
-  /** Told where the answer has not begun; 503 only for what has not run. */
+  /** Sent only if no head was sent yet; 503 only for a request that was not executed. */
   readonly status: number;
-  /** Knows when the caller may come again, for a request that has not run. */
+  /** Estimates when the caller may retry a request that was not executed. */
   readonly wait: Pick<PlaceWait, 'computeReturnMs'>;
 }
 
 /**
- * Ends an answer without a backend server's. What has begun breaks off, since
- * nothing else tells that it is not whole.
+ * Answers a request with an error of the gateway. A response that was already begun
+ * is cancelled, since only a broken connection tells the caller that it is truncated.
  *
- * @returns the outcome, and the status that the caller was told; 0 for none
+ * @returns the outcome and the status that was sent; 0 when none was
  * @example
- * const {outcome, status} = sendFinalAnswer({answer, requestId, reason, status: 502, wait});
+ * const {outcome, status} = sendErrorResponse({response, requestId, reason, status: 502, wait});
  */
 export function sendErrorResponse(
-  final: FinalAnswer,
+  input: ErrorResponseInput,
 ): Pick<RequestResult, 'outcome' | 'status'> {
-  const {answer, requestId, reason, status, wait} = final;
-  if (answer.hasBegun) {
-    answer.breakOff();
+  const {response, requestId, reason, status, wait} = input;
+  if (response.hasSentHead) {
+    response.cancel();
     return {outcome: 'failed', status: 0};
   }
   const isNotRun = status === ERROR_STATUS.notRun;
   const isContained = status === ERROR_STATUS.cannotBeRun;
   const retryAfterMs = isNotRun ? wait.computeReturnMs() : undefined;
-  answer.sendOwn({status, reason, retryAfterMs}, requestId);
+  response.sendError({status, reason, retryAfterMs}, requestId);
   const outcome = isNotRun ? 'refused' : isContained ? 'contained' : 'failed';
   return {outcome, status};
 }
--- a/test/gateway/gateway_shutdown.test.ts
+++ b/test/gateway/gateway_shutdown.test.ts
@@ -7,17 +7,17 @@
 function create(withinMs = 8_000) {
   const clock = {time: 0, now: () => clock.time};
   const events = EventRing.create();
-  const stop = GatewayShutdown.create({
+  const shutdown = GatewayShutdown.create({
     gatewayId: 'g',
     clock,
     events,
     withinMs,
-    honouredPart: 0.3,
+    maxRetryAfterFraction: 0.3,
   });
-  stop.recordStarted(700);
+  shutdown.recordStarted(700);
   let left = false;
   const begin = () => {
-    void stop.run({
+    void shutdown.run({
       countTaken: () => (left ? 0 : 1),
       countOpen: () => 0,
       stopAccepting: () => undefined,
@@ -29,15 +29,15 @@
     clock.time = 1e9;
   };
   const admit = (isOnNewConnection = true, leftMs = 20_000) =>
-    stop.admit({route: ROUTE, leftMs, isOnNewConnection});
-  return {stop, clock, begin, end, admit};
+    shutdown.admit({route: ROUTE, leftMs, isOnNewConnection});
+  return {shutdown, clock, begin, end, admit};
 }
 
 describe('a gateway that stops', () => {
   test('takes what fits into its time, by the longest of the route lately', () => {
-    const {stop, clock, begin, end, admit} = create(2_000);
-    stop.recordAnswered('r', 1_000);
-    stop.recordAnswered('r', 200);
+    const {shutdown, clock, begin, end, admit} = create(2_000);
+    shutdown.recordAnswered('r', 1_000);
+    shutdown.recordAnswered('r', 200);
     begin();
     clock.time = 700;
     expect(admit()).toBeUndefined();
@@ -57,8 +57,8 @@
   });
 
   test('sends callers elsewhere at once while others are ready', () => {
-    const {stop, clock, begin, end, admit} = create();
-    stop.recordAnswered('r', 7_500);
+    const {shutdown, clock, begin, end, admit} = create();
+    shutdown.recordAnswered('r', 7_500);
     begin();
     // Nobody has noticed yet, so that its caller came says nothing.
     expect(admit(true)?.retryAfterMs).toBe(20);
@@ -68,8 +68,8 @@
   });
 
   test('tells those who are sent here all the same to come when gateways are back', () => {
-    const {stop, clock, begin, end, admit} = create();
-    stop.recordAnswered('r', 1_500);
+    const {shutdown, clock, begin, end, admit} = create();
+    shutdown.recordAnswered('r', 1_500);
     begin();
     clock.time = 3_000;
     // To finish what was taken, and to start again.
