--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -2,11 +2,11 @@
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
 import {HttpOrigins} from '../transport/http_origins';
-import {ResponseHead} from './response_head';
 import {AttemptOutcome} from './attempt_outcome';
 import {BackendSignals} from './backend_signals';
-import {HttpDialect} from './http_dialect';
 import {GatewayRequest} from './gateway_request';
+import {HttpDialect} from './http_dialect';
+import {ResponseHead} from './response_head';
 import {SendPermit} from './send_permit';
 import {TargetBoard} from './target_board';
 
--- a/src/gateway/control_poller.ts
+++ b/src/gateway/control_poller.ts
@@ -31,7 +31,7 @@
   readonly demand: Readonly<Record<string, ModelDemand>>;
 }
 
-interface RulesFeedOptions {
+interface ControlPollerOptions {
   readonly gatewayId: string;
   readonly client: ControlClient;
   readonly clock: Clock;
@@ -67,7 +67,7 @@
   private isReporting = false;
   private isClosed = false;
 
-  private constructor(private readonly options: RulesFeedOptions) {
+  private constructor(private readonly options: ControlPollerOptions) {
     void this.follow();
   }
 
@@ -77,7 +77,7 @@
    * @example
    * const poller = ControlPoller.create({gatewayId, client, clock, events, confirmationMs, changesWithinMs, collectReport, onTargets, onControl});
    */
-  static create(options: RulesFeedOptions): ControlPoller {
+  static create(options: ControlPollerOptions): ControlPoller {
     return new ControlPoller(options);
   }
 
--- a/src/gateway/create_request_policies.ts
+++ b/src/gateway/create_request_policies.ts
@@ -1,9 +1,9 @@
-import {createStallTimes} from './create_stall_times';
 import {createForecastKeys} from './create_forecast_keys';
-import {RequestHistory} from './request_history';
+import {createStallTimes} from './create_stall_times';
 import {PlaceWait} from './place_wait';
-import {RepeatPolicy} from './repeat_policy';
 import {ProxiedRequestOptions} from './proxied_request_options';
+import {RepeatPolicy} from './repeat_policy';
+import {RequestHistory} from './request_history';
 import {StallJudge} from './stall_judge';
 
 /**
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -14,31 +14,31 @@
 import {readHttpBody} from '../transport/read_http_body';
 import {BackendSignals} from './backend_signals';
 import {BreakWitness} from './break_witness';
-import {ResponseWriter} from './response_writer';
 import {Containment} from './containment';
+import {ControlPoller} from './control_poller';
 import {createBackendSignals} from './create_backend_signals';
 import {createSuspectCalls} from './create_suspect_calls';
 import {decideAdmission} from './decide_admission';
 import {DemandMeter} from './demand_meter';
-import {RequestResult} from './request_result';
-import {RequestLog} from './request_log';
 import {GatewayRequest} from './gateway_request';
 import {GatewaySettings} from './gateway_settings';
 import {GatewayShutdown} from './gateway_shutdown';
 import {PlaceForecast} from './place_forecast';
 import {PressedModels} from './pressed_models';
-import {RepeatBudget} from './repeat_budget';
 import {ProxiedRequest} from './proxied_request';
+import {RepeatBudget} from './repeat_budget';
 import {RequestIdentity} from './request_identity';
-import {ControlPoller} from './control_poller';
+import {RequestLog} from './request_log';
+import {RequestResult} from './request_result';
+import {ResponseWriter} from './response_writer';
 import {TargetBoard} from './target_board';
 
 /** Interval at which waiting and streaming requests are checked; well under the pauses that count as stalls. */
-const CHECK_INTERVAL_MS = 20;
+const CHECK_MS = 20;
 /** A longer gap between two checks means that this process was paused; well under the shortest pause that counts as a stall. */
-const MAX_CHECK_GAP_MS = 4 * CHECK_INTERVAL_MS;
+const MAX_CHECK_GAP_MS = 4 * CHECK_MS;
 /** Reason of requests that are abandoned when the gateway shuts down. */
-const STOPPED_REASON = 'this gateway stopped';
+const STOPPED = 'this gateway stopped';
 /** Limit for request bodies until the first rules arrive. */
 const DEFAULT_MAX_BODY_BYTES = 1024 * 1024;
 /** After this time without an answer, another control process is tried. */
@@ -54,7 +54,7 @@
   private readonly poller: ControlPoller;
   private readonly requestLog: RequestLog;
   private readonly retryBudgets = new Map<string, RepeatBudget>();
-  private readonly activeRequests = new Set<ProxiedRequest>();
+  private readonly requests = new Set<ProxiedRequest>();
   private readonly forecast = PlaceForecast.create(systemClock);
   private readonly demand = DemandMeter.create(systemClock);
   private readonly containment: Containment;
@@ -62,7 +62,7 @@
   /** When requests were last checked, or a check was skipped. */
   private lastCheckAt: number;
   private wasCheckSkipped = false;
-  private seedAddresses: readonly string[];
+  private seeds: readonly string[];
   private controlAddresses: readonly string[];
   private listener: HttpListener | undefined;
   private openRequests = 0;
@@ -86,7 +86,7 @@
       withinMs: stopWithinMs,
       maxRetryAfterFraction: settings.dialect.maxRetryAfterFraction,
     });
-    this.seedAddresses = control;
+    this.seeds = control;
     this.controlAddresses = control;
     const incarnation = randomBytes(8).toString('hex');
     const lines = ThrottledLines.create(events, clock);
@@ -144,24 +144,18 @@
         this.origins.retain(this.board.listAddresses());
       },
       onControl: addresses => {
-        this.controlAddresses = [
-          ...new Set([...addresses, ...this.seedAddresses]),
-        ];
+        this.controlAddresses = [...new Set([...addresses, ...this.seeds])];
       },
     });
     this.requestLog = RequestLog.create(events, this.poller);
     this.lastCheckAt = clock.now();
-    this.checkTimer = setInterval(
-      () => this.checkRequests(),
-      CHECK_INTERVAL_MS,
-    );
+    this.checkTimer = setInterval(() => this.checkRequests(), CHECK_MS);
   }
 
   /**
-   * Checks all active requests, but skips one check after this process was paused:
-   * timers fire before received data is read, so its own pause would look like a stall
-   * of every backend server. Two checks in a row are never skipped, so that a slow
-   * process detects stalls, too.
+   * Skips one check after this process was paused: timers fire before received data is
+   * read, so its own pause would look like a stall of every backend server. Never skips
+   * two checks in a row, so that a slow process detects stalls, too.
    */
   private checkRequests(): void {
     const now = this.clock.now();
@@ -169,7 +163,7 @@
     this.lastCheckAt = now;
     this.wasCheckSkipped = hasPaused && !this.wasCheckSkipped;
     if (!this.wasCheckSkipped) {
-      this.activeRequests.forEach(request => request.check(now));
+      this.requests.forEach(request => request.check(now));
     }
   }
 
@@ -192,7 +186,7 @@
     return gateway;
   }
 
-  /** The port on which it listens for callers. */
+  /** The port for callers. */
   get port(): number {
     return this.listener?.port ?? 0;
   }
@@ -205,7 +199,7 @@
 
   /** Updates the seed addresses of control after the settings changed. */
   setControl(addresses: readonly string[]): void {
-    this.seedAddresses = addresses;
+    this.seeds = addresses;
     this.controlAddresses = [
       ...new Set([...this.controlAddresses, ...addresses]),
     ];
@@ -217,8 +211,7 @@
       countTaken: () => this.admittedResponses.size,
       countOpen: () => this.openRequests,
       stopAccepting: () => this.listener?.stopAccepting(),
-      giveUp: () =>
-        this.activeRequests.forEach(request => request.abandon(STOPPED_REASON)),
+      giveUp: () => this.requests.forEach(each => each.abandon(STOPPED)),
     });
     await this.close();
   }
@@ -226,7 +219,7 @@
   /** Closes at once and abandons all active requests. */
   async close(): Promise<void> {
     clearInterval(this.checkTimer);
-    this.activeRequests.forEach(request => request.abandon(STOPPED_REASON));
+    this.requests.forEach(request => request.abandon(STOPPED));
     this.admittedResponses.forEach(response => response.cancel());
     this.containment.close();
     this.signals.close();
@@ -329,14 +322,14 @@
       clock: this.clock,
       onDone: result => {
         if (proxied.current) {
-          this.activeRequests.delete(proxied.current);
+          this.requests.delete(proxied.current);
         }
         this.recordResult(request, route.name, result);
         this.demand.recordResult(request, pool.engine, result);
       },
     });
     if (!proxied.current.isFinished) {
-      this.activeRequests.add(proxied.current);
+      this.requests.add(proxied.current);
     }
   }
 
--- a/src/gateway/gateway_shutdown.ts
+++ b/src/gateway/gateway_shutdown.ts
@@ -9,7 +9,7 @@
 /** Retry delay while another gateway can serve the request: the time to open a new connection. */
 const RECONNECT_DELAY_MS = 20;
 
-interface GatewayStopOptions {
+interface GatewayShutdownOptions {
   readonly gatewayId: string;
   readonly clock: Clock;
   readonly events: EventRing;
@@ -37,7 +37,7 @@
   private admittedDuringStop = 0;
   private refusedDuringStop = 0;
 
-  private constructor(private readonly options: GatewayStopOptions) {
+  private constructor(private readonly options: GatewayShutdownOptions) {
     const {withinMs, clock} = options;
     this.schedule = StopSchedule.create({withinMs});
     this.longestTimes = LongestTimes.create(clock);
@@ -49,7 +49,7 @@
    * @example
    * const shutdown = GatewayShutdown.create({gatewayId, clock, events, withinMs: 8000, maxRetryAfterFraction: 1 / 3});
    */
-  static create(options: GatewayStopOptions): GatewayShutdown {
+  static create(options: GatewayShutdownOptions): GatewayShutdown {
     return new GatewayShutdown(options);
   }
 
--- a/src/gateway/http_dialect.ts
+++ b/src/gateway/http_dialect.ts
@@ -1,7 +1,7 @@
 import {IncomingMessage} from 'node:http';
 import {GatewayRules} from '../protocol/gateway_rules';
-import {ResponseHead} from './response_head';
 import {GatewayRequest} from './gateway_request';
+import {ResponseHead} from './response_head';
 
 /** Values that an attempt adds to the headers of a caller's request. */
 interface DispatchHeaders {
--- a/src/gateway/proxied_request.ts
+++ b/src/gateway/proxied_request.ts
@@ -1,16 +1,16 @@
 /** Proxies one request: its attempts, retries, resumed streams and final response. */
-import {ResponseHead} from './response_head';
-import {ResponseRelay} from './response_relay';
 import {Attempt} from './attempt';
 import {AttemptOutcome} from './attempt_outcome';
 import {createRequestPolicies} from './create_request_policies';
 import {ERROR_STATUS} from './error_status';
+import {PlaceWait} from './place_wait';
+import {ProxiedRequestOptions} from './proxied_request_options';
+import {RepeatPolicy} from './repeat_policy';
 import {RequestHistory} from './request_history';
 import {RequestResult} from './request_result';
 import {RequestSender} from './request_sender';
-import {PlaceWait} from './place_wait';
-import {RepeatPolicy} from './repeat_policy';
-import {ProxiedRequestOptions} from './proxied_request_options';
+import {ResponseHead} from './response_head';
+import {ResponseRelay} from './response_relay';
 import {sendErrorResponse} from './send_error_response';
 import {StallJudge} from './stall_judge';
 import {SuspectTrial} from './suspect_trial';
@@ -280,10 +280,10 @@
     const {name} = identity;
     this.history.recordConnectionLoss(name);
     this.trial.recordBreak(clock.now());
-    const judged = containment.recordBreak({target, name, hasBegun});
+    const decided = containment.recordBreak({target, name, hasBegun});
     if (!hasBegun) {
       this.isCrashUndecided = true;
-      await judged;
+      await decided;
       this.isCrashUndecided = false;
     }
     if (!this.isDone) {
--- a/src/gateway/proxied_request_options.ts
+++ b/src/gateway/proxied_request_options.ts
@@ -3,14 +3,14 @@
 import {GatewayRules} from '../protocol/gateway_rules';
 import {HttpOrigins} from '../transport/http_origins';
 import {BackendSignals} from './backend_signals';
-import {ResponseWriter} from './response_writer';
-import {HttpDialect} from './http_dialect';
 import {Containment} from './containment';
-import {RequestResult} from './request_result';
 import {GatewayRequest} from './gateway_request';
+import {HttpDialect} from './http_dialect';
 import {PlaceForecast} from './place_forecast';
 import {RepeatBudget} from './repeat_budget';
 import {RequestIdentity} from './request_identity';
+import {RequestResult} from './request_result';
+import {ResponseWriter} from './response_writer';
 import {TargetBoard} from './target_board';
 
 export interface ProxiedRequestOptions {
--- a/src/gateway/request_identity.ts
+++ b/src/gateway/request_identity.ts
@@ -56,11 +56,11 @@
     const {request, body} = this.input;
     const {caller} = this;
     const {host, method, path} = request;
-    const whole = createHash('sha256')
+    const digest = createHash('sha256')
       .update(JSON.stringify([caller, host, method, path]))
       .update(body)
       .digest('hex');
-    return caller + whole.slice(0, REQUEST_DIGITS);
+    return caller + digest.slice(0, REQUEST_DIGITS);
   }
 }
 
--- a/src/gateway/request_log.ts
+++ b/src/gateway/request_log.ts
@@ -1,9 +1,9 @@
 /** Logs the outcome of each request together with the inputs of the decision. */
 import {EventRing} from '../common/event_ring';
-import {RequestResult} from './request_result';
+import {ControlPoller} from './control_poller';
 import {GatewayRequest} from './gateway_request';
 import {Refusal} from './refusal';
-import {ControlPoller} from './control_poller';
+import {RequestResult} from './request_result';
 
 /** Logged as the age of rules that were never confirmed, since the field is a number. */
 const UNCONFIRMED_AGE_MS = 1e9;
--- a/src/gateway/request_sender.ts
+++ b/src/gateway/request_sender.ts
@@ -2,8 +2,8 @@
 import {GatewayTarget} from '../protocol/gateway_target';
 import {Attempt} from './attempt';
 import {createTargetKey} from './create_target_key';
-import {RequestHistory} from './request_history';
 import {ProxiedRequestOptions} from './proxied_request_options';
+import {RequestHistory} from './request_history';
 import {SendPermit} from './send_permit';
 
 type AttemptCallbacks = Pick<
@@ -11,7 +11,7 @@
   'onHead' | 'onData' | 'onEnd'
 >;
 
-interface FlowSenderOptions extends AttemptCallbacks {
+interface RequestSenderOptions extends AttemptCallbacks {
   readonly context: ProxiedRequestOptions;
   readonly history: RequestHistory;
   /** When the caller gives up, in milliseconds of the gateway's monotonic clock. */
@@ -31,7 +31,7 @@
   private readonly tried = new Set<string>();
   private hasPendingPermit = false;
 
-  private constructor(private readonly options: FlowSenderOptions) {}
+  private constructor(private readonly options: RequestSenderOptions) {}
 
   /**
    * Creates a sender that has not sent the request yet.
@@ -39,7 +39,7 @@
    * @example
    * const sender = RequestSender.create({context, history, deadlineAt, readLastEventId, canStillSend, onSending, onPermitDenied, onHead, onData, onEnd});
    */
-  static create(options: FlowSenderOptions): RequestSender {
+  static create(options: RequestSenderOptions): RequestSender {
     return new RequestSender(options);
   }
 
--- a/src/gateway/response_relay.ts
+++ b/src/gateway/response_relay.ts
@@ -1,8 +1,8 @@
 /** Forwards response bodies to the caller: streams event by event, everything else once it is complete. */
+import {BufferedBody} from './buffered_body';
+import {EventStreamSplitter} from './event_stream_splitter';
 import {ResponseHead} from './response_head';
 import {ResponseWriter} from './response_writer';
-import {EventStreamSplitter} from './event_stream_splitter';
-import {BufferedBody} from './buffered_body';
 
 interface AnswerRelayOptions {
   readonly response: ResponseWriter;
--- a/src/gateway/response_writer.ts
+++ b/src/gateway/response_writer.ts
@@ -73,9 +73,9 @@
   watchDrain(callback: () => void): void {
     if (!this.onDrain) {
       this.response.once('drain', () => {
-        const callback = this.onDrain;
+        const newest = this.onDrain;
         this.onDrain = undefined;
-        callback?.();
+        newest?.();
       });
     }
     this.onDrain = callback;
--- a/src/gateway/send_error_response.ts
+++ b/src/gateway/send_error_response.ts
@@ -1,7 +1,7 @@
-import {ResponseWriter} from './response_writer';
 import {ERROR_STATUS} from './error_status';
-import {RequestResult} from './request_result';
 import {PlaceWait} from './place_wait';
+import {RequestResult} from './request_result';
+import {ResponseWriter} from './response_writer';
 
 interface ErrorResponseInput {
   readonly response: ResponseWriter;
