--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -21,7 +21,7 @@
   readonly lastEventId?: string;
   readonly maxConnections: number;
   readonly origins: HttpOrigins;
-  readonly board: TargetBoard;
+  readonly balancer: TargetBoard;
   readonly signals: BackendSignals;
   readonly dialect: HttpDialect;
   readonly clock: Clock;
@@ -79,8 +79,8 @@
 
   /** True while it waits for a connection to a backend server that control no longer lists or that accepts nothing now. */
   get isTargetUnavailable(): boolean {
-    const {board, target} = this.options;
-    const isOpen = board.has(target.incarnation) && this.maySend;
+    const {balancer, target} = this.options;
+    const isOpen = balancer.has(target.incarnation) && this.maySend;
     return this.isWaiting && !isOpen;
   }
 
@@ -118,10 +118,10 @@
   }
 
   private send(): void {
-    const {request, body, target, dialect, origins, board} = this.options;
+    const {request, body, target, dialect, origins, balancer} = this.options;
     const {workspace, remainingMs, lastEventId, maxConnections} = this.options;
     const {incarnation, address} = target;
-    board.recordStart(incarnation, request.promptTokens);
+    balancer.recordStart(incarnation, request.promptTokens);
     const headers = dialect.createHeaders(request, {
       incarnation,
       workspace,
@@ -159,7 +159,7 @@
   }
 
   private handleHead(head: ResponseHead): void {
-    const {request, board, target, signals} = this.options;
+    const {request, balancer, target, signals} = this.options;
     if (this.isEnded) {
       return;
     }
@@ -171,7 +171,7 @@
     }
     // A head is no sign of progress: it may be sent before any work begins.
     if (head.isWrongIncarnation) {
-      board.drop(target.incarnation);
+      balancer.drop(target.incarnation);
     }
     if (head.isNotRun || head.isWrongIncarnation) {
       this.head = head;
@@ -191,15 +191,15 @@
   }
 
   private handleData(chunk: Buffer): void {
-    const {board, target, request, clock} = this.options;
+    const {balancer, target, request, clock} = this.options;
     if (this.isEnded || !this.hasResult) {
       return;
     }
     this.quietSince = clock.now();
-    board.recordHeard(target.incarnation);
+    balancer.recordHeard(target.incarnation);
     if (!this.hasBodyData) {
       this.hasBodyData = true;
-      board.recordFirst(target.incarnation, request.promptTokens);
+      balancer.recordFirst(target.incarnation, request.promptTokens);
     }
     this.options.onData(chunk);
   }
@@ -215,9 +215,9 @@
   }
 
   private handleError(error: Error): void {
-    const {board, target} = this.options;
+    const {balancer, target} = this.options;
     if (error.name === 'NeverSent') {
-      board.recordUnreachable(target.incarnation);
+      balancer.recordUnreachable(target.incarnation);
       this.finish({kind: 'not-run', reason: 'no connection was made'});
       return;
     }
@@ -244,11 +244,11 @@
     }
     this.isEnded = true;
     this.recordAccepted?.(false);
-    const {board, target, request} = this.options;
+    const {balancer, target, request} = this.options;
     if (!this.hasBodyData) {
-      board.recordFirst(target.incarnation, request.promptTokens);
+      balancer.recordFirst(target.incarnation, request.promptTokens);
     }
-    board.recordEnd(target.incarnation);
+    balancer.recordEnd(target.incarnation);
     this.options.onEnd(end);
   }
 }
--- a/src/gateway/create_request_policies.ts
+++ b/src/gateway/create_request_policies.ts
@@ -14,7 +14,7 @@
  */
 export function createRequestPolicies(options: ProxiedRequestOptions) {
   const {request, route, pool, arrivedAt, clock, budget} = options;
-  const {board, forecast, dialect, signals} = options;
+  const {balancer, forecast, dialect, signals} = options;
   const {model, promptTokens} = request;
   const timeoutMs = Math.min(route.timeoutMs, request.waitMs ?? Infinity);
   const deadlineAt = arrivedAt + timeoutMs;
@@ -26,7 +26,7 @@
     forecastKeys,
     history: RequestHistory.create(arrivedAt),
     policy: RepeatPolicy.create({route, budget, clock, deadlineAt}),
-    stall: StallJudge.create(board, createStallTimes(stallInput)),
+    stall: StallJudge.create(balancer, createStallTimes(stallInput)),
     wait: PlaceWait.create({
       forecast,
       clock,
@@ -38,12 +38,12 @@
       patienceMs: dialect.computeMaxPauseMs(route),
       takeOpening: () =>
         signals.takeOpening(
-          board.listIncarnations({
+          balancer.listIncarnations({
             pool: pool.name,
             model: pool.engine ? model : undefined,
           }),
         ),
-      findRepairMs: () => board.findRepairMs(model ?? ''),
+      findRepairMs: () => balancer.findRepairMs(model ?? ''),
     }),
   };
 }
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -50,7 +50,7 @@
   readonly events = EventRing.create();
   private readonly clock = systemClock;
   private readonly origins = HttpOrigins.create();
-  private readonly board: TargetBoard;
+  private readonly balancer: TargetBoard;
   private readonly poller: ControlPoller;
   private readonly requestLog: RequestLog;
   private readonly retryBudgets = new Map<string, RepeatBudget>();
@@ -99,7 +99,7 @@
     const reportNow = () => this.poller.reportNow();
     const source = {gatewayId, client, events, onNews: reportNow};
     this.signals = createBackendSignals(source);
-    this.board = TargetBoard.create(
+    this.balancer = TargetBoard.create(
       zone,
       clock,
       Math.random,
@@ -109,7 +109,7 @@
     this.containment = Containment.create({
       witness: BreakWitness.create({clock, events}),
       calls: createSuspectCalls(gatewayId, client),
-      onEnded: ended => this.board.recordEnded(ended),
+      onEnded: ended => this.balancer.recordEnded(ended),
     });
     this.poller = ControlPoller.create({
       gatewayId,
@@ -128,20 +128,20 @@
       confirmationMs,
       changesWithinMs,
       collectReport: () => ({
-        ...this.board.listNews(),
+        ...this.balancer.listNews(),
         pressed: this.pressed.list(),
         hasServed: this.hasServed,
         demand: this.demand.describe(),
       }),
       onRunning: (running, others) =>
-        this.board.setRunningElsewhere(running, others),
+        this.balancer.setRunningElsewhere(running, others),
       readSuspectsVersion: () => this.containment.version,
       onSuspects: news => this.containment.apply(news),
       limits: this.signals.limits,
       onTargets: targets => {
-        this.board.setTargets(targets);
-        this.signals.expire(name => this.board.has(name));
-        this.origins.retain(this.board.listAddresses());
+        this.balancer.setTargets(targets);
+        this.signals.expire(name => this.balancer.has(name));
+        this.origins.retain(this.balancer.listAddresses());
       },
       onControl: addresses => {
         this.controlAddresses = [...new Set([...addresses, ...this.seeds])];
@@ -193,7 +193,7 @@
 
   /** True while load balancers should send new connections to this gateway. */
   get isReady(): boolean {
-    const hasTargets = this.board.listAddresses().size > 0;
+    const hasTargets = this.balancer.listAddresses().size > 0;
     return !this.shutdown.hasBegun && this.poller.isConfirmed() && hasTargets;
   }
 
@@ -313,7 +313,7 @@
       arrivedAt,
       response: writer,
       origins: this.origins,
-      board: this.board,
+      balancer: this.balancer,
       budget: this.findRetryBudget(pool.name),
       forecast: this.forecast,
       containment: this.containment,
--- a/src/gateway/proxied_request_options.ts
+++ b/src/gateway/proxied_request_options.ts
@@ -26,7 +26,7 @@
   readonly arrivedAt: number;
   readonly response: ResponseWriter;
   readonly origins: HttpOrigins;
-  readonly board: TargetBoard;
+  readonly balancer: TargetBoard;
   readonly budget: RepeatBudget;
   readonly forecast: PlaceForecast;
   readonly containment: Containment;
--- a/src/gateway/request_sender.ts
+++ b/src/gateway/request_sender.ts
@@ -54,8 +54,8 @@
    * @param isSure leaves out backend servers that may deny the request
    */
   findTarget(mayQueue: boolean, isSure = false): GatewayTarget | undefined {
-    const {request, pool, board} = this.options.context;
-    return board.choose({
+    const {request, pool, balancer} = this.options.context;
+    return balancer.choose({
       pool: pool.name,
       mayQueue,
       isSure,
@@ -66,9 +66,9 @@
 
   /** Appends to a reason why backend servers accept nothing now, if they told so. */
   explainNoTarget(reason: string): string {
-    const {pool, request, board, signals} = this.options.context;
+    const {pool, request, balancer, signals} = this.options.context;
     const model = pool.engine ? request.model : undefined;
-    const incarnations = board.listIncarnations({pool: pool.name, model});
+    const incarnations = balancer.listIncarnations({pool: pool.name, model});
     const explanation = signals.explainClosed(incarnations);
     return explanation === undefined ? reason : `${reason}; ${explanation}`;
   }
@@ -87,7 +87,7 @@
     this.hasPendingPermit = true;
     const permit = await context.signals.limits.askPermit(target.incarnation);
     this.hasPendingPermit = false;
-    if (permit && context.board.has(target.incarnation) && canStillSend()) {
+    if (permit && context.balancer.has(target.incarnation) && canStillSend()) {
       this.startAttempt(target, permit);
     } else {
       onPermitDenied();
@@ -97,11 +97,11 @@
   private startAttempt(target: GatewayTarget, permit?: SendPermit): void {
     const {context, history, deadlineAt, readLastEventId, onSending} =
       this.options;
-    const {board, clock} = context;
+    const {balancer, clock} = context;
     onSending();
     this.tried.add(createTargetKey(target));
     const {incarnation} = target;
-    const running = board.countRunning(incarnation);
+    const running = balancer.countRunning(incarnation);
     history.recordTarget(incarnation, running, clock.now());
     this.attempt = Attempt.create({
       ...context,
--- a/test/gateway/gateway_shutdown.test.ts
+++ b/test/gateway/gateway_shutdown.test.ts
@@ -15,17 +15,17 @@
     maxRetryAfterFraction: 0.3,
   });
   shutdown.recordStarted(700);
-  let left = false;
+  let isFinished = false;
   const begin = () => {
     void shutdown.run({
-      countTaken: () => (left ? 0 : 1),
+      countTaken: () => (isFinished ? 0 : 1),
       countOpen: () => 0,
       stopAccepting: () => undefined,
       giveUp: () => undefined,
     });
   };
   const end = () => {
-    left = true;
+    isFinished = true;
     clock.time = 1e9;
   };
   const admit = (isOnNewConnection = true, leftMs = 20_000) =>
@@ -33,8 +33,8 @@
   return {shutdown, clock, begin, end, admit};
 }
 
-describe('a gateway that stops', () => {
-  test('takes what fits into its time, by the longest of the route lately', () => {
+describe('a gateway that shuts down', () => {
+  test('admits requests that finish in time, judged by the longest recent one of the route', () => {
     const {shutdown, clock, begin, end, admit} = create(2_000);
     shutdown.recordAnswered('r', 1_000);
     shutdown.recordAnswered('r', 200);
@@ -46,7 +46,7 @@
     end();
   });
 
-  test('counts on the objective of a route that was not seen lately', () => {
+  test('falls back to the objective of a route without recent requests', () => {
     const {clock, begin, end, admit} = create(1_000);
     begin();
     clock.time = 570;
@@ -56,25 +56,25 @@
     end();
   });
 
-  test('sends callers elsewhere at once while others are ready', () => {
+  test('tells callers to retry at once while other gateways are ready', () => {
     const {shutdown, clock, begin, end, admit} = create();
     shutdown.recordAnswered('r', 7_500);
     begin();
-    // Nobody has noticed yet, so that its caller came says nothing.
+    // Callers cannot have noticed yet, so a new connection implies nothing.
     expect(admit(true)?.retryAfterMs).toBe(20);
     clock.time = 3_000;
     expect(admit(false)?.retryAfterMs).toBe(20);
     end();
   });
 
-  test('tells those who are sent here all the same to come when gateways are back', () => {
+  test('tells callers without an alternative to retry once gateways have restarted', () => {
     const {shutdown, clock, begin, end, admit} = create();
     shutdown.recordAnswered('r', 1_500);
     begin();
     clock.time = 3_000;
-    // To finish what was taken, and to start again.
+    // The longest recent request, plus the startup time.
     expect(admit(true)?.retryAfterMs).toBe(2_200);
-    // Callers come back within a third of the time that they have left.
+    // Callers honor a retry delay only up to a fraction of their remaining time.
     expect(admit(true, 4_000)?.retryAfterMs).toBe(1_200);
     end();
   });
--- a/test/gateway/planned_stop.test.ts
+++ b/test/gateway/planned_stop.test.ts
@@ -1,16 +1,13 @@
 /**
- * Symptom: streams that stopping gateways had taken 6.1 and 6.6 s after their
- * signal to stop broke off in the middle 7.3 s after it.
- * Sequence: all gateways were told to stop within 2.5 s. Fewer than half of them
- * were ready then, so new connections went on coming to those that were
- * stopping, at a steady rate.
- * Cause: a stopping gateway took requests until its last instant. It ended early
- * only if a look every 50 ms met no open request, which a steady rate prevents;
- * else it closed every connection when its time was over.
- * What settled it: requests were answered that came 7.0 s after the signal;
- * processors were at 1 to 6%; the gateway closed all connections 7.32 s after its
- * signal, as its time of 8 s less a margin of 0.7 s says; only one of eleven left
- * within 3.3 s.
+ * Guards against streams that a gateway truncates at the end of its shutdown.
+ * All gateways were signalled to stop within 2.5 s. As fewer than half of them were
+ * ready, new connections kept arriving at a steady rate at those that were stopping.
+ * A stopping gateway admitted requests until the end: it closed early only if a check
+ * every 50 ms found no open request, which a steady rate prevents, and otherwise closed
+ * every connection after 7.3 s (its 8 s less a margin of 0.7 s). Streams admitted 6.1
+ * and 6.6 s after the signal were cut off; requests that arrived 7.0 s after it were
+ * still answered, at a CPU load of 1 to 6%. Only one of eleven gateways ended within
+ * 3.3 s.
  */
 import * as http from 'node:http';
 import * as net from 'node:net';
@@ -24,11 +21,11 @@
 const BETWEEN_STOPS_MS = 300;
 const EVENTS = 10;
 const BETWEEN_EVENTS_MS = 100;
-const BETWEEN_CALLS_MS = 40;
-const KEPT_CONNECTIONS = 4;
+const CALL_INTERVAL_MS = 40;
+const PERSISTENT_CONNECTIONS = 4;
 
 type Fleet = GatewayFleet;
-type View = Awaited<ReturnType<Fleet['call']>> & {id: string};
+type CallResult = Awaited<ReturnType<Fleet['call']>> & {id: string};
 
 const fleets: Fleet[] = [];
 
@@ -36,27 +33,27 @@
   await Promise.all(fleets.splice(0).map(fleet => fleet.close()));
 });
 
-/** A stream of a second. */
+/** A stream that lasts one second. */
 const streamSlowly = streamSteadily(EVENTS, BETWEEN_EVENTS_MS);
 
-/** Callers on new connections, at a steady rate, and on kept ones. */
-class Callers {
-  readonly views: View[] = [];
+/** Sends requests at a steady rate on new connections, and in sequence on persistent ones. */
+class LoadGenerator {
+  readonly results: CallResult[] = [];
   private readonly pending = new Set<Promise<unknown>>();
   private readonly timer: NodeJS.Timeout;
   private readonly agents: http.Agent[] = [];
   private count = 0;
-  private isOver = false;
+  private isFinished = false;
 
   constructor(private readonly fleet: Fleet) {
-    this.timer = setInterval(() => this.call(), BETWEEN_CALLS_MS);
-    for (let at = 0; at < KEPT_CONNECTIONS; at += 1) {
-      void this.callAgain(at);
+    this.timer = setInterval(() => this.call(), CALL_INTERVAL_MS);
+    for (let at = 0; at < PERSISTENT_CONNECTIONS; at += 1) {
+      void this.callRepeatedly(at);
     }
   }
 
   async finish(): Promise<void> {
-    this.isOver = true;
+    this.isFinished = true;
     clearInterval(this.timer);
     await Promise.all(this.pending);
     this.agents.forEach(agent => agent.destroy());
@@ -68,15 +65,15 @@
     const gateway = this.count % 2;
     const called = this.fleet
       .call(gateway, id, agent)
-      .then(view => void this.views.push({...view, id}));
+      .then(result => void this.results.push({...result, id}));
     this.pending.add(called);
     return called;
   }
 
-  private async callAgain(at: number): Promise<void> {
+  private async callRepeatedly(at: number): Promise<void> {
     const agent = new http.Agent({keepAlive: true, maxSockets: 1});
     this.agents.push(agent);
-    while (!this.isOver) {
+    while (!this.isFinished) {
       await this.call(agent);
       await new Promise(resolve => setTimeout(resolve, (at + 1) * 30));
     }
@@ -90,7 +87,7 @@
     .map(({reason}) => reason);
 }
 
-test('gateways that stop together, while callers go on coming, finish what they took and refuse the rest', async () => {
+test('gateways that stop together under steady load finish admitted requests and refuse the rest', async () => {
   const fleet = await GatewayFleet.create({
     gateways: 2,
     stopWithinMs: STOP_WITHIN_MS,
@@ -98,8 +95,8 @@
     handle: streamSlowly,
   });
   fleets.push(fleet);
-  const callers = new Callers(fleet);
-  await waitUntil('answers', () => callers.views.length > 10);
+  const callers = new LoadGenerator(fleet);
+  await waitUntil('answers', () => callers.results.length > 10);
   const [first, second] = fleet.gateways;
   const stopped = first.drain();
   await new Promise(resolve => setTimeout(resolve, BETWEEN_STOPS_MS));
@@ -109,11 +106,11 @@
   const ran = new Set(
     fleet.backend.requests.map(({headers}) => headers.get('request-id') ?? ''),
   );
-  const isRefused = ({status}: View) => status === 503;
-  const givenUp = callers.views.filter(
-    view => !view.isWhole && !(view.isUnread && !ran.has(view.id)),
+  const isRefused = ({status}: CallResult) => status === 503;
+  const givenUp = callers.results.filter(
+    result => !result.isWhole && !(result.isUnread && !ran.has(result.id)),
   );
-  const refused = callers.views.filter(isRefused);
+  const refused = callers.results.filter(isRefused);
   expect(givenUp).toEqual([]);
   expect(refused.filter(({id}) => ran.has(id))).toEqual([]);
   expect(refused.length).toBeGreaterThan(0);
@@ -121,8 +118,8 @@
     expect(Number(headers['retry-after'])).toBeGreaterThan(0);
     expect(headers.connection).toBe('close');
   }
-  // What was begun before callers could notice is served like any other.
-  const served = callers.views.filter(({status}) => status === 200);
+  // Every request that reached the backend server is answered with 200.
+  const served = callers.results.filter(({status}) => status === 200);
   expect(served.length).toBe(ran.size);
   expect([first, second].map(listStopReasons)).toEqual([
     ['nothing is under way'],
@@ -130,12 +127,12 @@
   ]);
 });
 
-test('what is not finished when the time is over gets its final answer, which says whether it may have run', async () => {
+test('requests unfinished at the end of the shutdown get a status that says whether they may have been executed', async () => {
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: 3_500,
     route: {kind: 'unsafe', timeoutMs: 60_000},
-    // Never answered, and only one connection, so the second one waits.
+    // Never answers; there is only one connection, so the second request waits for it.
     handle: () => undefined,
     maxConnections: 2,
   });
@@ -153,10 +150,10 @@
   ]);
 });
 
-/** Beyond what the system keeps for a socket, so that a part of it stays in the gateway. */
+/** Larger than the kernel's socket buffers, so that the gateway still holds a part of it. */
 const LARGE_BYTES = 7 * 1024 * 1024;
 
-/** A caller that reads nothing until it is told to, and how its connection ends. */
+/** Opens a connection that is read only once it is resumed, and records how it ends. */
 function openSlowly(port: number) {
   const socket = net.connect(port, '127.0.0.1');
   const seen = {bytes: 0, end: 'open'};
@@ -171,7 +168,7 @@
   return {socket, seen, closed};
 }
 
-test('an answer that is written and has not left is not cut by the end of a stop', async () => {
+test('a response that is written but not yet sent is not truncated by the shutdown', async () => {
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: STOP_WITHIN_MS,
@@ -191,7 +188,7 @@
     gateway.events.listSince(0).some(({type}) => type === 'request-answered'),
   );
   const stopped = gateway.drain();
-  // Later than callers have noticed, so nothing but this answer holds the stop.
+  // Callers have noticed by then, so only this response delays the shutdown.
   await new Promise(resolve => setTimeout(resolve, 3_000));
   caller.socket.resume();
   await Promise.all([stopped, caller.closed]);
@@ -200,7 +197,7 @@
   expect(listStopReasons(gateway)).toEqual(['nothing is under way']);
 });
 
-test('a stream without a length that breaks off does not look whole', async () => {
+test('a truncated stream without a length ends with a connection reset', async () => {
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: STOP_WITHIN_MS,
@@ -222,7 +219,7 @@
   expect(caller.seen.end).toBe('reset');
 });
 
-test('a request whose body comes after callers have noticed is refused, and the stop waits to say so', async () => {
+test('a request whose body arrives late in the shutdown is refused, and the shutdown waits for the response', async () => {
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: STOP_WITHIN_MS,
@@ -238,7 +235,7 @@
   socket.write(
     'POST /x HTTP/1.1\r\nhost: h\r\nrequest-id: q\r\ncontent-length: 3\r\n\r\na',
   );
-  // Its head must have come before the port is closed.
+  // The gateway must have received the head before it closes the port.
   await new Promise(resolve => setTimeout(resolve, 500));
   const stopped = gateway.drain();
   await new Promise(resolve => setTimeout(resolve, 3_000));
--- a/test/gateway/proxied_request.test.ts
+++ b/test/gateway/proxied_request.test.ts
@@ -3,7 +3,7 @@
 import {waitUntil} from '../support/wait_until';
 
 describe('a plain request', () => {
-  test('gets the status, headers and body of its backend server unchanged', async () => {
+  test('receives the status, headers and body of its backend server unchanged', async () => {
     const {fixture, backends} = await start([answer('body', 'other: 1\n')]);
     const received = await fixture.ask();
 
@@ -14,7 +14,7 @@
     expect(backends[0].requests[0].headers.get('incarnation')).toBe('i0');
   });
 
-  test('that may run again is sent to another when the first breaks off', async () => {
+  test('that is retryable is sent to another backend server after a connection reset', async () => {
     const {fixture, backends} = await start([reset, answer('second')]);
     const received = await fixture.ask();
 
@@ -22,7 +22,7 @@
     expect(backends.map(({requests}) => requests.length)).toEqual([1, 1]);
   });
 
-  test('whose answer pauses in the middle is left alone', async () => {
+  test('is not moved when its response pauses', async () => {
     const head = 'HTTP/1.1 200 OK\r\nrequest-id: q\r\nseal: s\r\n';
     const {fixture, backends} = await start(
       [
@@ -39,13 +39,13 @@
     expect(backends[1].requests).toHaveLength(0);
   });
 
-  test('for a plain service does not wait behind those that want a place at an engine', async () => {
+  test('to a service without engines does not wait in the queue for slots', async () => {
     const {fixture} = await start([answer('at once')]);
     fixture.forecast.join('p m', {});
     expect((await fixture.ask({model: 'm'})).body).toBe('at once');
   });
 
-  test('that may not run again is told 502 when it may have run', async () => {
+  test('that is not retryable gets 502 when it may have been executed', async () => {
     const {fixture, backends} = await start([reset, answer('second')], {
       kind: 'unsafe',
     });
@@ -56,14 +56,14 @@
     expect(backends[1].requests).toHaveLength(0);
   });
 
-  test('that may not run again goes elsewhere after a true refusal', async () => {
+  test('that is not retryable is sent to another backend server if it was not executed', async () => {
     const {fixture} = await start([notRun, answer('second')], {
       kind: 'unsafe',
     });
     expect((await fixture.ask({}, 'order')).body).toBe('second');
   });
 
-  test('that nobody ran is refused at once with a time to come back', async () => {
+  test('that no backend server executed is refused at once with a retry delay', async () => {
     const {fixture} = await start([notRun, notRun]);
     const received = await fixture.ask();
 
@@ -72,12 +72,12 @@
     expect(received.headers['request-id']).toBe('q');
   });
 
-  test('is not told as refused when one attempt may have run before a refusal', async () => {
+  test('gets 502 and not 503 when an attempt before the refusal may have been executed', async () => {
     const {fixture} = await start([reset, notRun]);
     expect((await fixture.ask()).status).toBe(502);
   });
 
-  test('never gets the answer to another request', async () => {
+  test('never receives the response to another request', async () => {
     const {fixture} = await start([
       write(
         'HTTP/1.1 200 OK\nrequest-id: other\nseal: s\ncontent-length: 4\n\nevil',
@@ -87,7 +87,7 @@
     expect((await fixture.ask()).body).toBe('mine');
   });
 
-  test('never gets a success that its backend server does not vouch for', async () => {
+  test('never receives a success without the seal of its backend server', async () => {
     const {fixture} = await start(
       [write('HTTP/1.1 200 OK\nrequest-id: q\ncontent-length: 4\n\nevil')],
       {kind: 'unsafe'},
@@ -95,7 +95,7 @@
     expect((await fixture.ask({}, 'order')).status).toBe(502);
   });
 
-  test('is not harmed by bytes behind the answer before', async () => {
+  test('is not affected by surplus bytes after the previous response', async () => {
     const {fixture} = await start([answer('mine', '')]);
     await fixture.ask();
     expect((await fixture.ask()).body).toBe('mine');
@@ -111,12 +111,12 @@
     expect(surplus.backends[0].requests).toHaveLength(2);
   });
 
-  test('whose answer has no length is whole only when its connection ends in order', async () => {
+  test('whose response has no length is complete only if its connection closes in order', async () => {
     const head = 'HTTP/1.1 200 OK\r\nrequest-id: q\r\nseal: s\r\n\r\nhalf';
     const ended = await start([({socket}) => socket.end(head)]);
     const received = await ended.fixture.ask();
     expect(received.body).toBe('half');
-    // A crash ends a connection as well, so nothing may say that this is all.
+    // A crash closes a connection as well, so nothing may mark the body as complete.
     expect(received.headers['content-length']).toBeUndefined();
     expect(received.headers['transfer-encoding']).toBeUndefined();
     const broken = await start(
@@ -131,7 +131,7 @@
     expect((await broken.fixture.ask({}, 'order')).status).toBe(502);
   });
 
-  test('passes over a backend server whose address is another start now', async () => {
+  test('avoids a backend server whose address belongs to another incarnation now', async () => {
     const {fixture} = await start([
       write('HTTP/1.1 421 Misdirected\ncontent-length: 0\n\n'),
       answer('second'),
@@ -140,7 +140,7 @@
     expect(fixture.board.listAddresses().size).toBe(1);
   });
 
-  test('that is too late gets its final answer and frees its backend server', async () => {
+  test('that exceeds its deadline gets 504 and releases its backend server', async () => {
     const {fixture, backends} = await start([() => undefined], {
       timeoutMs: 80,
       kind: 'unsafe',
@@ -149,32 +149,34 @@
     await waitUntil('closed', () => backends[0].openConnections === 0);
   });
 
-  test('hands on the time that is left', async () => {
+  test('forwards the remaining time', async () => {
     const {fixture, backends} = await start([answer('a')]);
     await fixture.ask({'wait-ms': '900'});
-    const left = Number(backends[0].requests[0].headers.get('remaining-ms'));
+    const remainingMs = Number(
+      backends[0].requests[0].headers.get('remaining-ms'),
+    );
 
-    expect(left).toBeGreaterThan(0);
-    expect(left).toBeLessThanOrEqual(900);
+    expect(remainingMs).toBeGreaterThan(0);
+    expect(remainingMs).toBeLessThanOrEqual(900);
   });
 
-  test('that waits for a connection goes elsewhere when its backend server leaves', async () => {
+  test('that waits for a connection is sent elsewhere when its backend server is removed', async () => {
     const {fixture, backends} = await start([() => undefined, answer('b')]);
-    // As many connections as there are, all busy.
+    // Occupies all connections to the backend server.
     const [first, second] = fixture.targets;
     fixture.board.setTargets(new Map([first]));
     const busy = [1, 2, 3, 4].map(() => fixture.open());
     await waitUntil('busy', () => backends[0].requests.length === 4);
-    const asked = fixture.ask();
+    const response = fixture.ask();
     await waitUntil('the fifth', () => fixture.flowCount === 5);
     fixture.board.setTargets(new Map([second]));
 
-    expect((await asked).body).toBe('b');
+    expect((await response).body).toBe('b');
     expect(backends[0].requests).toHaveLength(4);
     busy.forEach(request => request.destroy());
   });
 
-  test('whose caller leaves frees its backend server', async () => {
+  test('whose caller disconnects releases its backend server', async () => {
     const {fixture, backends} = await start([() => undefined]);
     const request = fixture.open();
     await waitUntil('arrival', () => backends[0].requests.length === 1);
--- a/test/gateway/proxied_stream.test.ts
+++ b/test/gateway/proxied_stream.test.ts
@@ -6,7 +6,7 @@
   const route = {kind: 'stream', isResumable: true} as const;
   const model = {model: 'm'};
 
-  test('is passed on event by event under the head of its backend server', async () => {
+  test('is forwarded event by event under the head of its backend server', async () => {
     const {fixture} = await start(
       [stream('a', [1, 2, 3], 'whole')],
       route,
@@ -19,7 +19,7 @@
     expect(received.isWhole).toBe(true);
   });
 
-  test('goes on at another backend server behind the last whole event', async () => {
+  test('resumes at another backend server after the last complete event', async () => {
     const {fixture, backends} = await start(
       [stream('a', [1, 2], 'reset', 'id: 3\nda'), stream('b', [3, 4], 'whole')],
       route,
@@ -32,7 +32,7 @@
     expect(backends[1].requests[0].headers.get('last-event-id')).toBe('2');
   });
 
-  test('that stops in the middle goes on elsewhere, and the silent one is let go', async () => {
+  test('that stalls resumes elsewhere, and the connection to the stalled backend server is closed', async () => {
     const {fixture, backends} = await start(
       [stream('a', [1], 'silent'), stream('b', [2], 'whole')],
       route,
@@ -45,7 +45,7 @@
     expect(fixture.board.listNews().stalled).toEqual(['i0']);
   });
 
-  test('goes on at the same backend server once that is the head of a new group', async () => {
+  test('resumes at the same backend server once that heads a new group', async () => {
     const parts = [
       stream('a', [1, 2], 'reset', 'id: 3\nda'),
       stream('b', [3, 4], 'whole'),
@@ -55,7 +55,7 @@
       route,
       {...model, epoch: 7},
     );
-    const asked = fixture.ask();
+    const response = fixture.ask();
     const [backend] = backends;
     await waitUntil(
       'broken',
@@ -66,11 +66,11 @@
     const again = {...target, epoch: 9};
     fixture.board.setTargets(new Map([[incarnation, again]]));
 
-    expect((await asked).body).toBe(events(1, 2, 3, 4));
+    expect((await response).body).toBe(events(1, 2, 3, 4));
     expect(backends[0].requests).toHaveLength(2);
   });
 
-  test('that nobody goes on with in time is broken off', async () => {
+  test('that no backend server resumes in time is truncated', async () => {
     const {fixture} = await start([stream('a', [1, 2], 'reset')], route, model);
     const received = await fixture.ask();
 
@@ -79,7 +79,7 @@
     expect(fixture.results[0].outcome).toBe('failed');
   });
 
-  test('that may not be resumed is broken off, never ended as whole', async () => {
+  test('that is not resumable is truncated and never ended as complete', async () => {
     const {fixture} = await start(
       [stream('a', [1], 'reset'), stream('b', [2], 'whole')],
       {...route, isResumable: false},
@@ -91,7 +91,7 @@
     expect(received.body).toBe(events(1));
   });
 
-  test('that ends within an event is not whole', async () => {
+  test('that ends within an event is incomplete', async () => {
     const {fixture} = await start(
       [stream('a', [1], 'whole', 'id: 2\nda')],
       {...route, isResumable: false},
@@ -103,7 +103,7 @@
     expect(received.body).toBe(events(1));
   });
 
-  test('beyond the places of every engine is refused early', async () => {
+  test('is refused early when no engine has a free slot', async () => {
     const {fixture, backends} = await start(
       [stream('a', [1], 'whole')],
       route,
@@ -117,7 +117,7 @@
     expect(backends[0].requests).toHaveLength(0);
   });
 
-  test('whose work would end too late if it waited is refused without a wait', async () => {
+  test('is refused without waiting when it would get a slot too late', async () => {
     const {fixture, backends} = await start(
       [stream('a', [1], 'whole')],
       {...route, objectiveMs: 5_000},
@@ -128,7 +128,7 @@
       fixture.forecast.recordWork('r p', 4_990);
       fixture.forecast.join('p m', {});
     }
-    // 10 ms are left, and 200 others wait for a place before it.
+    // 10 ms are left, and 200 others wait in the queue before it.
     fixture.board.setRunningElsewhere({i0: 4});
     const received = await fixture.ask();
 
@@ -140,7 +140,7 @@
     ]);
   });
 
-  test('that would be late even at once waits as the first in line, and alone', async () => {
+  test('that misses its objective in any case waits only as the first in the queue', async () => {
     const {fixture} = await start(
       [stream('a', [1], 'whole')],
       {...route, objectiveMs: 5_000},
@@ -153,7 +153,7 @@
     fixture.board.setRunningElsewhere({i0: 4});
     const first = fixture.ask();
     await waitUntil(
-      'the line',
+      'the queue',
       () => fixture.forecast.countAhead('p m', {}) > 0,
     );
     const second = await fixture.ask();
@@ -163,7 +163,7 @@
     expect((await first).body).toBe(events(1));
   });
 
-  test('of a model whose repairs outlast its caller is broken off at once', async () => {
+  test('is truncated at once when repairs of its model take longer than its caller waits', async () => {
     const {fixture} = await start(
       [stream('a', [1], 'reset')],
       {...route, maxAttempts: 3},
@@ -173,7 +173,7 @@
     const setEpoch = (epoch: number) =>
       fixture.board.setTargets(new Map([[incarnation, {...target, epoch}]]));
     fixture.board.setTargets(new Map());
-    // Callers bear pauses of 2 s.
+    // Callers tolerate pauses of 2 s.
     await new Promise(resolve => setTimeout(resolve, 2_100));
     setEpoch(8);
     const received = await fixture.ask();
@@ -182,7 +182,7 @@
     expect(fixture.results[0].reason).toBe('the connection broke');
   });
 
-  test('does not overtake those that wait before it', async () => {
+  test('does not overtake requests that wait before it', async () => {
     const {fixture} = await start(
       [stream('a', [1], 'whole')],
       {...route, objectiveMs: 20_000},
@@ -191,28 +191,28 @@
     await fixture.ask();
     const earlier = {};
     fixture.forecast.join('p m', earlier);
-    const asked = fixture.ask();
+    const response = fixture.ask();
     await waitUntil(
-      'its place in the line',
+      'its place in the queue',
       () => fixture.forecast.countAhead('p m', {}) === 2,
     );
     fixture.forecast.leave('p m', earlier);
 
-    expect((await asked).body).toBe(events(1));
+    expect((await response).body).toBe(events(1));
   });
 
-  test('that waits for a place takes the first that gets free', async () => {
+  test('that waits for a slot takes the first that becomes free', async () => {
     const {fixture} = await start(
       [stream('a', [1], 'whole')],
       {...route, objectiveMs: 20_000},
       model,
     );
-    // A place has fallen free here lately, so there is hope.
+    // A slot became free recently, so waiting is worthwhile.
     await fixture.ask();
     fixture.board.setRunningElsewhere({i0: 4});
-    const asked = fixture.ask();
+    const response = fixture.ask();
     setTimeout(() => fixture.board.setRunningElsewhere({i0: 3}), 50);
 
-    expect((await asked).body).toBe(events(1));
+    expect((await response).body).toBe(events(1));
   });
 });
--- a/test/gateway/request_identity.test.ts
+++ b/test/gateway/request_identity.test.ts
@@ -4,26 +4,26 @@
 const request = {host: 'h', method: 'POST', path: '/x?y=1'};
 const input = {request, workspace: 'w', body: Buffer.from('ask')};
 
-function name(changes: Partial<typeof input> = {}): string {
+function computeName(changes: Partial<typeof input> = {}): string {
   return RequestIdentity.create({...input, ...changes}).name;
 }
 
-test('a request is the same whenever its caller, path and body are', () => {
-  expect(name()).toBe(name());
-  expect(name()).toMatch(/^[0-9a-f]{32}$/);
+test('requests with equal caller, path and body have the same name', () => {
+  expect(computeName()).toBe(computeName());
+  expect(computeName()).toMatch(/^[0-9a-f]{32}$/);
 });
 
-test('another body, path or caller makes another request', () => {
+test('a different body, path or caller changes the name', () => {
   const others = [
-    name({body: Buffer.from('ask?')}),
-    name({request: {...request, path: '/x?y=2'}}),
-    name({workspace: 'v'}),
-    name({workspace: undefined}),
+    computeName({body: Buffer.from('ask?')}),
+    computeName({request: {...request, path: '/x?y=2'}}),
+    computeName({workspace: 'v'}),
+    computeName({workspace: undefined}),
   ];
-  expect(new Set([name(), ...others]).size).toBe(5);
+  expect(new Set([computeName(), ...others]).size).toBe(5);
 });
 
-test('names of one caller begin alike', () => {
-  const other = name({body: Buffer.from('something else')});
-  expect(other.slice(0, 8)).toBe(name().slice(0, 8));
+test('names of one caller share a prefix', () => {
+  const other = computeName({body: Buffer.from('something else')});
+  expect(other.slice(0, 8)).toBe(computeName().slice(0, 8));
 });
--- a/test/gateway/stale_rules.test.ts
+++ b/test/gateway/stale_rules.test.ts
@@ -1,11 +1,10 @@
 /**
- * Gateways that had not heard control for over two seconds refused a route with
- * 404 that had been added and confirmed meanwhile. They act on their rules for
- * 4.25 s after control confirmed them, while a change may take 2 s to be in force
- * everywhere: "refused with 404 as an older version says; version 92 was acked more
- * than 2000 ms before", 2.2 s after the confirmation. To serve a route that it knows
- * a gateway needs no more than the time in which a key may be withdrawn; to say that
- * there is no such route or key it must know the rules of now.
+ * Guards against a 404 for a route that was added and confirmed while a gateway had
+ * lost contact with control. Gateways serve by their rules for 4.25 s after the last
+ * confirmation, but a confirmed change may take only 2 s to be in force everywhere; a
+ * gateway answered 404 by an older version 2.2 s after the change was confirmed.
+ * Serving a known route only requires rules younger than the time in which a key may
+ * be revoked; denying that a route or key exists requires current rules.
  */
 import {afterEach, expect, test} from 'vitest';
 import {streamSteadily} from '../support/backend_scripts';
@@ -18,11 +17,11 @@
   await Promise.all(fleets.splice(0).map(fleet => fleet.close()));
 });
 
-test('a gateway whose rules may be older than a confirmed change serves what it knows, and refuses nothing for good', async () => {
+test('a gateway whose rules may be stale serves known routes and answers unknown ones with 503', async () => {
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: 8_000,
-    // Above the 0.5 s for which a confirmation is old while control holds a question.
+    // Above the 0.5 s for which control holds a poll, the usual age of a confirmation.
     changesWithinMs: 1_500,
     route: {},
     handle: streamSteadily(2, 10),
@@ -32,17 +31,14 @@
   expect(await callUnknown('q1')).toMatchObject({status: 404});
 
   await fleet.stopControl();
-  let unknown = await callUnknown('q2');
-  await waitUntil(
-    'another answer than that there is no such route',
-    async () => {
-      unknown = await callUnknown('q3');
-      return unknown.status !== 404;
-    },
-  );
-  const known = await fleet.call(0, 'q4');
+  let unknownRoute = await callUnknown('q2');
+  await waitUntil('a status other than 404', async () => {
+    unknownRoute = await callUnknown('q3');
+    return unknownRoute.status !== 404;
+  });
+  const knownRoute = await fleet.call(0, 'q4');
 
-  expect(unknown.status).toBe(503);
-  expect(unknown.headers['retry-after']).toBeDefined();
-  expect(known).toMatchObject({status: 200, isWhole: true});
+  expect(unknownRoute.status).toBe(503);
+  expect(unknownRoute.headers['retry-after']).toBeDefined();
+  expect(knownRoute).toMatchObject({status: 200, isWhole: true});
 });
--- a/test/gateway/suspended_gateway.test.ts
+++ b/test/gateway/suspended_gateway.test.ts
@@ -1,8 +1,8 @@
 /**
- * A machine may be suspended for seconds, and its steady clock does not count them.
- * A gateway that had lost control and was away for 5 s still served by rules that
- * control had confirmed 5.1 s ago, as its own clock said 0.1 s: a key that was
- * taken away meanwhile would have been taken for good.
+ * Guards against serving by outdated rules after the machine was suspended, during
+ * which its monotonic clock stands still. A gateway that had lost contact with control
+ * and was suspended for 5 s still served by rules confirmed 5.1 s before, since its
+ * clock showed 0.1 s. It would have accepted a key that was revoked meanwhile.
  */
 import {afterEach, expect, test} from 'vitest';
 import {streamSteadily} from '../support/backend_scripts';
@@ -10,8 +10,8 @@
 import {suspend} from '../support/suspension';
 import {waitUntil} from '../support/wait_until';
 
-/** Above the 4 s for which the fleet's gateways act on a confirmation. */
-const AWAY_MS = 5_000;
+/** Above the 4 s for which the gateways of the fixture serve by a confirmation. */
+const SUSPENDED_MS = 5_000;
 const closers: Array<() => unknown> = [];
 
 afterEach(async () => {
@@ -31,19 +31,19 @@
   return fleet;
 }
 
-test('a gateway that was suspended serves by no rules from before', async () => {
+test('a gateway that was suspended does not serve by rules confirmed before', async () => {
   const fleet = await start();
   expect(await fleet.call(0, 'q1')).toMatchObject({status: 200});
   await fleet.stopControl();
 
-  closers.push(suspend(AWAY_MS));
+  closers.push(suspend(SUSPENDED_MS));
   expect(fleet.gateways[0].isReady).toBe(false);
   expect(await fleet.call(0, 'q2')).toMatchObject({status: 503});
 });
 
-test('and serves again as soon as control has confirmed them', async () => {
+test('a gateway that was suspended serves again once control has confirmed the rules', async () => {
   const fleet = await start();
-  closers.push(suspend(AWAY_MS));
+  closers.push(suspend(SUSPENDED_MS));
   await waitUntil('a confirmation', () => fleet.gateways[0].isReady);
   expect(await fleet.call(0, 'q1')).toMatchObject({status: 200});
 });
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -195,7 +195,7 @@
         arrivedAt,
         response: ResponseWriter.create(response, 'request-id', () => false),
         origins: this.origins,
-        board: this.board,
+        balancer: this.board,
         budget: RepeatBudget.create(
           {ratio: 1, windowMs: 10_000, slack: 100},
           systemClock,
