--- a/src/gateway/buffered_body.ts
+++ b/src/gateway/buffered_body.ts
@@ -12,7 +12,7 @@
    * Creates an empty body.
    *
    * @example
-   * const body = HeldBody.create();
+   * const body = BufferedBody.create();
    */
   static create(): BufferedBody {
     return new BufferedBody();
--- a/src/gateway/control_poller.ts
+++ b/src/gateway/control_poller.ts
@@ -13,6 +13,7 @@
 
 /** Longer than control delays the answer to a poll without news. */
 const POLL_TIMEOUT_MS = 2_500;
+/** Pause between a failed poll and the next one. */
 const RETRY_DELAY_MS = 50;
 
 type PollAnswer = MessageOf<ControlMessage, 'gateway-answer'>;
--- a/src/gateway/create_request_policies.ts
+++ b/src/gateway/create_request_policies.ts
@@ -10,7 +10,7 @@
  * Creates the history, deadline and policies of one request, which need none of its state.
  *
  * @example
- * const {policy, wait, stall} = createFlowParts(options);
+ * const {policy, wait, stall} = createRequestPolicies(options);
  */
 export function createRequestPolicies(options: ProxiedRequestOptions) {
   const {request, route, pool, arrivedAt, clock, budget} = options;
--- a/src/gateway/request_sender.ts
+++ b/src/gateway/request_sender.ts
@@ -64,7 +64,7 @@
     });
   }
 
-  /** Appends to a reason why backend servers accept nothing now, if they told so. */
+  /** Appends to a reason what backend servers announced that makes them unavailable. */
   explainNoTarget(reason: string): string {
     const {pool, request, balancer, signals} = this.options.context;
     const model = pool.engine ? request.model : undefined;
