--- a/src/gateway/response_relay.ts
+++ b/src/gateway/response_relay.ts
@@ -4,7 +4,7 @@
 import {ResponseHead} from './response_head';
 import {ResponseWriter} from './response_writer';
 
-interface AnswerRelayOptions {
+interface ResponseRelayOptions {
   readonly response: ResponseWriter;
   /** The last event that the caller received before this request. */
   readonly lastEventId: string | undefined;
@@ -19,7 +19,7 @@
   private buffered = BufferedBody.create();
   private lastForwardedId: string | undefined;
 
-  private constructor(private readonly options: AnswerRelayOptions) {
+  private constructor(private readonly options: ResponseRelayOptions) {
     this.lastForwardedId = options.lastEventId;
   }
 
@@ -29,7 +29,7 @@
    * @example
    * const relay = ResponseRelay.create({response, lastEventId, onForwarded});
    */
-  static create(options: AnswerRelayOptions): ResponseRelay {
+  static create(options: ResponseRelayOptions): ResponseRelay {
     return new ResponseRelay(options);
   }
 
