--- a/src/gateway/create_request_policies.ts
+++ b/src/gateway/create_request_policies.ts
@@ -1,36 +1,36 @@
-import {createStallThresholds} from './create_stall_thresholds';
 import {createForecastKeys} from './create_forecast_keys';
-import {RequestHistory} from './request_history';
+import {createStallThresholds} from './create_stall_thresholds';
 import {SlotWait} from './slot_wait';
-import {RetryPolicy} from './retry_policy';
 import {ProxiedRequestOptions} from './proxied_request_options';
+import {RetryPolicy} from './retry_policy';
+import {RequestHistory} from './request_history';
 import {StallDetector} from './stall_detector';
 
 /**
- * Creates what decides about one request and needs nothing of its flow.
+ * Creates the history, deadline and policies of one request, which need none of its state.
  *
  * @example
- * const {policy, wait, stall} = createFlowParts(options);
+ * const {policy, wait, stall} = createRequestPolicies(options);
  */
 export function createRequestPolicies(options: ProxiedRequestOptions) {
   const {request, route, pool, arrivedAt, clock, budget} = options;
-  const {balancer: board, forecast, dialect, signals} = options;
+  const {balancer, forecast, dialect, signals} = options;
   const {model, promptTokens} = request;
-  const holdMs = Math.min(route.timeoutMs, request.waitMs ?? Infinity);
-  const deadlineAt = arrivedAt + holdMs;
-  const names = createForecastKeys({route, pool, model});
-  const {work} = names;
-  const judged = {route, pool, model, promptTokens, work, forecast};
+  const timeoutMs = Math.min(route.timeoutMs, request.waitMs ?? Infinity);
+  const deadlineAt = arrivedAt + timeoutMs;
+  const forecastKeys = createForecastKeys({route, pool, model});
+  const {work} = forecastKeys;
+  const stallInput = {route, pool, model, promptTokens, work, forecast};
   return {
     deadlineAt,
-    names,
-    course: RequestHistory.create(arrivedAt),
+    forecastKeys,
+    history: RequestHistory.create(arrivedAt),
     policy: RetryPolicy.create({route, budget, clock, deadlineAt}),
-    stall: StallDetector.create(board, createStallThresholds(judged)),
+    stall: StallDetector.create(balancer, createStallThresholds(stallInput)),
     wait: SlotWait.create({
       forecast,
       clock,
-      ...names,
+      ...forecastKeys,
       objectiveMs: route.objectiveMs,
       arrivedAt,
       deadlineAt,
@@ -38,12 +38,12 @@
       maxPauseMs: dialect.computeMaxPauseMs(route),
       reserveRetry: () =>
         signals.reserveRetry(
-          board.listIncarnations({
+          balancer.listIncarnations({
             pool: pool.name,
             model: pool.engine ? model : undefined,
           }),
         ),
-      findRepairMs: () => board.findRepairMs(model ?? ''),
+      findRepairMs: () => balancer.findRepairMs(model ?? ''),
     }),
   };
 }
