--- a/src/gateway/proxied_request.ts
+++ b/src/gateway/proxied_request.ts
@@ -35,7 +35,7 @@
   >['forecastKeys'];
   private isDone = false;
   /** Its connection was lost before the response began, and it is not yet known whether the backend server crashed. */
-  private isCrashUndecided = false;
+  private isCrashUnknown = false;
 
   private constructor(private readonly options: ProxiedRequestOptions) {
     const {request, clock, response} = options;
@@ -287,9 +287,9 @@
       hasResponseStarted: hasBegun,
     });
     if (!hasBegun) {
-      this.isCrashUndecided = true;
+      this.isCrashUnknown = true;
       await decided;
-      this.isCrashUndecided = false;
+      this.isCrashUnknown = false;
     }
     if (!this.isDone) {
       this.handleOutcome({kind: 'broken', reason});
@@ -341,8 +341,7 @@
   private get errorStatus(): number {
     const {attempt} = this.sender;
     const isSent = attempt !== undefined && !attempt.isWaiting;
-    const mayHaveRun =
-      this.policy.mayHaveRun || isSent || this.isCrashUndecided;
+    const mayHaveRun = this.policy.mayHaveRun || isSent || this.isCrashUnknown;
     return mayHaveRun ? ERROR_STATUS.failed : ERROR_STATUS.notRun;
   }
 
