--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -8,7 +8,7 @@
 import {GroupPlanContext} from '../src/coordination/groups/group_plan_context';
 import {planFormation} from '../src/coordination/groups/plan_formation';
 import {Group} from '../src/protocol/group';
-import {RepairPolicy} from './virtual_fleet';
+import {RepairPolicy} from './fleet_simulator';
 
 type Member = Group['members'][number];
 type Repair = (
--- a/bench/failure_scripts.ts
+++ b/bench/failure_scenarios.ts
@@ -1,6 +1,6 @@
-import {FailureScript} from './virtual_fleet';
+import {FailureScenario} from './fleet_simulator';
 
-type What = FailureScript['events'][number]['what'];
+type What = FailureScenario['events'][number]['what'];
 
 const HOSTS_PER_DOMAIN = 17;
 
@@ -9,7 +9,7 @@
   at: number,
   what: What,
   forMs?: number,
-): FailureScript['events'] {
+): FailureScenario['events'] {
   const back =
     forMs === undefined ? [] : [{at: at + forMs, host, what: 'back' as const}];
   return [{at, host, what}, ...back];
@@ -22,7 +22,7 @@
 }
 
 /** The fixed failure sequences that repair decisions are scored on; times in milliseconds. */
-export const failureScripts: readonly FailureScript[] = [
+export const failureScenarios: readonly FailureScenario[] = [
   {
     name: 'a member pauses for 3 s',
     events: lose('d0h0', 10_000, 'pause', 3_000),
--- a/bench/virtual_fleet.ts
+++ b/bench/fleet_simulator.ts
@@ -30,7 +30,7 @@
 }
 
 /** A sequence of failures. */
-export interface FailureScript {
+export interface FailureScenario {
   readonly name: string;
   readonly events: readonly ScriptEvent[];
 }
@@ -69,7 +69,7 @@
 }
 
 /** Plays one script under one policy. */
-export class VirtualFleet {
+export class FleetSimulator {
   private now = 0;
   private readonly hosts = new Map<string, VirtualHost>();
   private readonly table = GroupTable.create();
@@ -94,12 +94,12 @@
   }
 
   /** Runs a script for a time and scores it. */
-  static play(
+  static run(
     options: VirtualFleetOptions,
-    script: FailureScript,
+    script: FailureScenario,
     totalMs: number,
   ): RepairScore {
-    const fleet = new VirtualFleet(options);
+    const fleet = new FleetSimulator(options);
     fleet.form();
     let downMs = 0;
     let strandedMs = 0;
--- a/bench/run_capacity.ts
+++ b/bench/run_capacity.ts
@@ -9,8 +9,8 @@
 import {ManagedProcess} from '../test/support/managed_process';
 import {TestFleet} from '../test/support/test_fleet';
 import {waitUntil} from '../test/support/wait_until';
-import {LightFleet} from './light_fleet';
-import {readProcessUsage} from './process_usage';
+import {SessionLoadGenerator} from './session_load_generator';
+import {readProcessUsage} from './read_process_usage';
 
 const HOST_STEPS = [0, 200, 400, 800];
 const ENTRY_STEPS = [0, 40, 80];
@@ -46,7 +46,7 @@
 
 async function measure(
   leader: ManagedProcess,
-  light: LightFleet,
+  light: SessionLoadGenerator,
 ): Promise<Sample> {
   const before = readProcessUsage(leader.pid);
   const traffic = {...light.traffic};
@@ -77,7 +77,7 @@
 async function measureHosts(
   fleet: TestFleet,
   leader: ManagedProcess,
-  light: LightFleet,
+  light: SessionLoadGenerator,
 ): Promise<void> {
   let added = 0;
   for (const hosts of HOST_STEPS) {
@@ -107,7 +107,7 @@
 
 async function measureEntries(
   leader: ManagedProcess,
-  light: LightFleet,
+  light: SessionLoadGenerator,
 ): Promise<void> {
   let added = 0;
   for (const entries of ENTRY_STEPS) {
@@ -124,16 +124,16 @@
 
 async function measureRollOut(
   fleet: TestFleet,
-  light: LightFleet,
+  light: SessionLoadGenerator,
 ): Promise<void> {
   const version = 2;
   const startedAt = performance.now();
   await fleet.rollOut(createBundle(version, 1_000));
   const acceptedAt = performance.now();
   await waitUntil('the bundle is in force everywhere', () =>
-    [...light.versions.values()].every(seen => seen === version),
+    [...light.bundleVersions.values()].every(seen => seen === version),
   );
-  const sessions = light.versions.size;
+  const sessions = light.bundleVersions.size;
   say(
     `roll-out: accepted in ${(acceptedAt - startedAt).toFixed(0)} ms, ` +
       `known to ${sessions} sessions ${(performance.now() - acceptedAt).toFixed(0)} ms later`,
@@ -145,13 +145,13 @@
     `node ${process.version}, ${cpus().length} cores, ${new Date().toISOString().slice(0, 10)}`,
   );
   const fleet = await TestFleet.create({hosts: [], entries: 1});
-  let light: LightFleet | undefined;
+  let light: SessionLoadGenerator | undefined;
   try {
     await fleet.rollOut(createBundle(1, 1_000));
     const status = await fleet.operator.readStatus();
     const {name} = splitIdentity(status.leader);
     const leader = fleet.findControl(name);
-    light = LightFleet.create(`127.0.0.1:${leader.ready['port']}`);
+    light = SessionLoadGenerator.create(`127.0.0.1:${leader.ready['port']}`);
     await measureHosts(fleet, leader, light);
     await measureEntries(leader, light);
     await measureRollOut(fleet, light);
--- a/bench/run_path.ts
+++ b/bench/run_path.ts
@@ -6,9 +6,9 @@
 import * as http from 'node:http';
 import {cpus} from 'node:os';
 import {ManagedProcess} from '../test/support/managed_process';
-import {startBenchFleet} from './bench_fleet';
-import {readProcessUsage} from './process_usage';
-import {timeStream} from './stream_client';
+import {startBenchFleet} from './start_bench_fleet';
+import {readProcessUsage} from './read_process_usage';
+import {timeStream} from './time_stream';
 import {summarize} from './summarize';
 
 const REPLICAS = 3;
--- a/bench/run_promises.ts
+++ b/bench/run_promises.ts
@@ -14,7 +14,7 @@
 import {WriteAheadLog} from '../src/state/write_ahead_log';
 import {TestFleet} from '../test/support/test_fleet';
 import {waitUntil} from '../test/support/wait_until';
-import {LightFleet} from './light_fleet';
+import {SessionLoadGenerator} from './session_load_generator';
 import {summarize} from './summarize';
 
 const KEY = 'promises-key';
@@ -192,14 +192,14 @@
 async function measureRollOut(fleet: TestFleet): Promise<void> {
   const {leader} = await fleet.operator.readStatus();
   const {port} = fleet.findControl(splitIdentity(leader).name).ready;
-  const light = LightFleet.create(`127.0.0.1:${String(port)}`);
+  const light = SessionLoadGenerator.create(`127.0.0.1:${String(port)}`);
   const times: number[] = [];
   await light.addHosts(0, LIGHT_HOSTS);
   for (let version = 2; version < 2 + ROUNDS; version += 1) {
     const startedAt = performance.now();
     await fleet.rollOut(createBundle(version, 0));
     await waitUntil('in force everywhere', () => {
-      const versions = [...light.versions.values()];
+      const versions = [...light.bundleVersions.values()];
       return (
         versions.length === LIGHT_HOSTS &&
         versions.every(seen => seen === version)
--- a/bench/score_repairs.ts
+++ b/bench/score_repairs.ts
@@ -3,13 +3,13 @@
 import {Bundle} from '../src/protocol/bundle';
 import {computeDigest} from '../src/protocol/compute_digest';
 import {baselinePolicies} from './baseline_policies';
-import {failureScripts} from './failure_scripts';
+import {failureScenarios} from './failure_scenarios';
 import {
-  FailureScript,
+  FailureScenario,
   RepairPolicy,
   RepairScore,
-  VirtualFleet,
-} from './virtual_fleet';
+  FleetSimulator,
+} from './fleet_simulator';
 
 const DOMAINS = 6;
 const HOSTS_PER_DOMAIN = 17;
@@ -49,10 +49,10 @@
       domains: DOMAINS,
       hostsPerDomain: HOSTS_PER_DOMAIN,
     };
-    const play = (policy: RepairPolicy, script: FailureScript) =>
-      VirtualFleet.play({...options, policy}, script, TOTAL_MS);
+    const play = (policy: RepairPolicy, script: FailureScenario) =>
+      FleetSimulator.run({...options, policy}, script, TOTAL_MS);
     const floor = play(planner, NO_FAILURE).cost;
-    return failureScripts.map(script => ({
+    return failureScenarios.map(script => ({
       user,
       script: script.name,
       floor,
--- a/bench/light_fleet.ts
+++ b/bench/session_load_generator.ts
@@ -21,10 +21,10 @@
 }
 
 /** A fleet that only talks to control. */
-export class LightFleet {
+export class SessionLoadGenerator {
   readonly traffic: Traffic = {sentBytes: 0, receivedBytes: 0, answers: 0};
   /** Newest bundle version each session was told. */
-  readonly versions = new Map<string, number>();
+  readonly bundleVersions = new Map<string, number>();
   private readonly peers: Peer[] = [];
   private readonly servers: FrameServer[] = [];
   private readonly timers: NodeJS.Timeout[] = [];
@@ -33,8 +33,8 @@
   private constructor(private readonly leader: string) {}
 
   /** Creates an empty fleet that talks to the leader at this address. */
-  static create(leader: string): LightFleet {
-    return new LightFleet(leader);
+  static create(leader: string): SessionLoadGenerator {
+    return new SessionLoadGenerator(leader);
   }
 
   /** Adds hosts `from` to `to`, eight in each fabric domain. */
@@ -77,7 +77,7 @@
         if (message.type === 'host-directive') {
           group = message.group === undefined ? group : message.group;
           bundleVersion = message.bundleVersion;
-          this.versions.set(hostId, bundleVersion);
+          this.bundleVersions.set(hostId, bundleVersion);
         }
       },
     );
@@ -113,7 +113,7 @@
     const peer = await this.connect(identity, message => {
       if (message.type === 'entry-directive') {
         ({bundleVersion, tableVersion} = message);
-        this.versions.set(entryId, bundleVersion);
+        this.bundleVersions.set(entryId, bundleVersion);
       }
     });
     this.repeat(ENTRY_REPORT_MS, call => {
--- a/src/control/control_event_log.ts
+++ b/src/control/control_event_log.ts
@@ -1,9 +1,9 @@
 /** Events that a control process logs about itself, sufficient to diagnose a quorum without progress. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {RaftMessage} from '../protocol/raft_message';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {RaftRuntime} from './raft_runtime';
 
 /** A call that was refused or failed. */
@@ -17,14 +17,14 @@
 
 /** Records events with the identity of one control process. */
 export class ControlEventLog {
-  private readonly throttledLines: ThrottledLines;
+  private readonly throttledEventLog: ThrottledEventLog;
 
   private constructor(
     private readonly identity: string,
     private readonly events: EventRing,
     clock: Clock,
   ) {
-    this.throttledLines = ThrottledLines.create(events, clock);
+    this.throttledEventLog = ThrottledEventLog.create(events, clock);
   }
 
   /**
@@ -46,7 +46,7 @@
   }
 
   /** Records the state recovered from disk, which helps to diagnose a quorum that does not form. */
-  recordRecoveredState({log, snapshots}: ControlDisk): void {
+  recordRecoveredState({log, snapshots}: ControlDataFolder): void {
     const {term, votedFor = '', commitIndex, entries} = log.recovered;
     this.events.record({
       type: 'state-recovered',
@@ -71,7 +71,7 @@
    * only learns that this process is not the leader.
    */
   recordRefusedCall({ask, reason, voters, raft}: RefusedCall): void {
-    this.throttledLines.record(`${ask} ${reason}`, {
+    this.throttledEventLog.record(`${ask} ${reason}`, {
       type: 'call-not-carried-out',
       subject: 'control',
       id: this.identity,
@@ -92,7 +92,7 @@
       return;
     }
     const {term, isPreVote, refusal = ''} = message;
-    this.throttledLines.record(`vote ${from} ${refusal}`, {
+    this.throttledEventLog.record(`vote ${from} ${refusal}`, {
       type: 'vote-refused',
       subject: 'control',
       id: this.identity,
@@ -103,7 +103,7 @@
 
   /** Records a failure to handle a message; its sender only sees the connection close. */
   recordMessageFailure(from: string, error: Error): void {
-    this.throttledLines.record('message', {
+    this.throttledEventLog.record('message', {
       type: 'message-failed',
       subject: 'control',
       id: this.identity,
--- a/src/control/control_settings.ts
+++ b/src/control/control_settings.ts
@@ -1,6 +1,6 @@
 import {KeyObject} from 'node:crypto';
-import {EngineOrders} from '../protocol/engine_orders';
-import {TransportSecurity} from '../transport/transport_security';
+import {EngineClient} from '../protocol/engine_client';
+import {TlsCredentials} from '../transport/tls_credentials';
 
 /** Bootstrap of a quorum from seed processes; processes are named by their address. */
 interface SeededQuorum {
@@ -21,7 +21,7 @@
   /** Time for which a group that lost a member stalls until its head reports it as broken, in milliseconds. */
   readonly stallMs: number;
   /** Client for orders to engines; without it engines get neither orders nor probes. */
-  readonly orders?: EngineOrders;
+  readonly orders?: EngineClient;
 }
 
 /** Settings of a control process. */
@@ -47,7 +47,7 @@
   /** Channels whose bundles are accepted without a signature; none by default. */
   readonly trustedChannels?: readonly string[];
   readonly pools?: PoolSettings;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   /** Number of log entries after a snapshot that triggers the next one. */
   readonly snapshotEvery?: number;
 }
--- a/src/control/create_call_handlers.ts
+++ b/src/control/create_call_handlers.ts
@@ -3,8 +3,8 @@
 import {Clock} from '../common/clock';
 import {computeKeyId} from '../protocol/compute_key_id';
 import {ControlMessage} from '../protocol/control_message';
-import {describeDrainOrder} from '../protocol/describe_drain_order';
-import {describeLiftOrder} from '../protocol/describe_lift_order';
+import {encodeDrainOrder} from '../protocol/encode_drain_order';
+import {encodeLiftOrder} from '../protocol/encode_lift_order';
 import {FleetStatus} from '../protocol/fleet_status';
 import {Group} from '../protocol/group';
 import {HostReport} from '../protocol/host_report';
@@ -199,7 +199,7 @@
 ): Promise<ControlMessage> {
   const {call, hostId, isDraining, keyId} = request;
   try {
-    const text = describeDrainOrder(hostId, isDraining, request.time);
+    const text = encodeDrainOrder(hostId, isDraining, request.time);
     checkOrder(request, text, context.trustedKeys);
   } catch (error) {
     return {
@@ -234,7 +234,7 @@
   try {
     checkOrder(
       request,
-      describeLiftOrder(name, request.time),
+      encodeLiftOrder(name, request.time),
       context.trustedKeys,
     );
   } catch (error) {
--- a/src/control/engine_group_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -10,7 +10,7 @@
 import {createEnginePlanInput} from '../coordination/groups/create_engine_plan_input';
 import {ControlCommand} from '../protocol/control_command';
 import {EngineGroup} from '../protocol/engine_group';
-import {listMemberNames} from '../protocol/list_member_names';
+import {listMemberIncarnations} from '../protocol/list_member_incarnations';
 import {GatewayRules} from '../protocol/gateway_rules';
 import {BackendHealth} from './backend_health';
 import {BackendRegistry} from './backend_registry';
@@ -128,7 +128,7 @@
     if (groups.length === 0 && !this.isSettled(backends, now)) {
       return;
     }
-    this.recordHeldModels(groups);
+    this.recordLoadedModels(groups);
     this.health.refresh(groups, now);
     const domains = countByDomain(this.listHealthy(backends));
     const input = {
@@ -196,7 +196,7 @@
               Math.round(requestsPerSecond),
             ]),
           ),
-          ...Object.fromEntries(input.usual),
+          ...Object.fromEntries(input.desiredGroups),
         },
       });
     }
@@ -210,11 +210,11 @@
   }
 
   /** Members of an ending group still have the weights of its model in memory. */
-  private recordHeldModels(groups: readonly EngineGroup[]): void {
+  private recordLoadedModels(groups: readonly EngineGroup[]): void {
     const {registry} = this.options;
     for (const {members, model} of groups.filter(group => group.isEnding)) {
       members.forEach(({incarnation}) =>
-        registry.recordHeldModel(incarnation, model),
+        registry.recordLoadedModel(incarnation, model),
       );
     }
   }
@@ -236,7 +236,7 @@
       const id = isSet ? command.group.name : command.name;
       const details: Record<string, string | number> = isSet
         ? {
-            members: listMemberNames(command.group).join(' '),
+            members: listMemberIncarnations(command.group).join(' '),
             domain: command.group.domain,
           }
         : {epoch: command.epoch};
--- a/src/control/gateway_service.ts
+++ b/src/control/gateway_service.ts
@@ -254,7 +254,9 @@
       runningElsewhere: this.countRunningElsewhere(poll.gatewayId),
       gateways: Math.max(1, this.gateways.size),
       control: [...raft.listVotersAt(raft.commitIndex).keys()],
-      suspects: isListNew ? suspects.describeSince(suspectsVersion) : undefined,
+      suspects: isListNew
+        ? suspects.listChangesSince(suspectsVersion)
+        : undefined,
       limitsTag: newLimitsTag,
       limits:
         limitsTag === undefined || limitsTag === newLimitsTag
--- a/src/control/order_dispatcher.ts
+++ b/src/control/order_dispatcher.ts
@@ -2,9 +2,9 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {EngineAction} from '../coordination/groups/engine_action';
-import {EngineOrders} from '../protocol/engine_orders';
+import {EngineClient} from '../protocol/engine_client';
 import {EngineProfile} from '../protocol/engine_profile';
-import {listMemberNames} from '../protocol/list_member_names';
+import {listMemberIncarnations} from '../protocol/list_member_incarnations';
 import {BackendRegistry} from './backend_registry';
 import {ControlSettings} from './control_settings';
 import {GatewayService} from './gateway_service';
@@ -35,7 +35,7 @@
 /** Before the first request, many hosts may load at once although each load is slower then. */
 const EARLY_LOAD_FACTOR = 3;
 
-type Answer = Awaited<ReturnType<EngineOrders['send']>>;
+type Answer = Awaited<ReturnType<EngineClient['send']>>;
 type Outcome = Answer['outcome'];
 type Order = Extract<EngineAction, {type: 'order'}>;
 
@@ -244,7 +244,8 @@
         kind,
         group: group && {name: group.name, epoch: group.epoch},
         model: kind === 'join' || kind === 'stage' ? model : undefined,
-        members: kind === 'join' && group ? listMemberNames(group) : undefined,
+        members:
+          kind === 'join' && group ? listMemberIncarnations(group) : undefined,
       },
     });
     const outcome = answer?.outcome ?? 'unanswered';
--- a/src/control/quorum_manager.ts
+++ b/src/control/quorum_manager.ts
@@ -8,7 +8,7 @@
 import {FormationMessage} from '../protocol/formation_message';
 import {MessageOf} from '../protocol/message_of';
 import {splitIdentity} from '../protocol/split_identity';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {ControlConnections} from './control_connections';
 import {ControlSettings} from './control_settings';
 import {decideInitialVoters} from './decide_initial_voters';
@@ -26,8 +26,8 @@
 /** Dependencies and callbacks of the manager. */
 interface QuorumManagerOptions {
   readonly settings: ControlSettings;
-  readonly disk: ControlDisk;
-  readonly links: Pick<
+  readonly disk: ControlDataFolder;
+  readonly connections: Pick<
     ControlConnections,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
   >;
@@ -134,7 +134,7 @@
   }
 
   private async formOrJoin(): Promise<void> {
-    const {disk, links, settings} = this.options;
+    const {disk, connections: links, settings} = this.options;
     for (const identity of links.listIdentities()) {
       links.send(identity, {type: 'formation-ask', identity: disk.identity});
     }
@@ -169,7 +169,7 @@
 
   /** Adds connections in a seeded quorum, where the name of a process is its address. */
   private addConnections(names: readonly string[]): void {
-    const {settings, links} = this.options;
+    const {settings, connections: links} = this.options;
     if (settings.seeded) {
       names
         .filter(name => name !== settings.name)
@@ -183,7 +183,7 @@
   }
 
   private async changeVoters(): Promise<void> {
-    const {links, settings, findRuntime, clock} = this.options;
+    const {connections: links, settings, findRuntime, clock} = this.options;
     const runtime = findRuntime();
     if (!runtime?.canServe() || runtime.raft.isChangingVoters) {
       return;
@@ -229,7 +229,8 @@
     if (connected !== undefined) {
       return connected !== identity;
     }
-    const heardAt = this.options.links.findHeardAt(identity) ?? this.startedAt;
+    const heardAt =
+      this.options.connections.findHeardAt(identity) ?? this.startedAt;
     return now - heardAt > REPLACE_AFTER_MS;
   }
 }
--- a/src/control/quorum_member.ts
+++ b/src/control/quorum_member.ts
@@ -4,7 +4,7 @@
 import {defaultRaftTiming} from '../coordination/agreement/default_raft_timing';
 import {Message} from '../protocol/message';
 import {RaftMessage} from '../protocol/raft_message';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {ControlConnections} from './control_connections';
 import {ControlSettings} from './control_settings';
 import {QuorumManager} from './quorum_manager';
@@ -18,8 +18,8 @@
   'send' | 'onFailure' | 'onDiskFull' | 'onChange' | 'leaseClock'
 > {
   readonly settings: ControlSettings;
-  readonly disk: ControlDisk;
-  readonly links: Pick<
+  readonly disk: ControlDataFolder;
+  readonly connections: Pick<
     ControlConnections,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
   >;
@@ -38,11 +38,11 @@
   private raftRuntime: RaftRuntime | undefined;
 
   private constructor(private readonly options: QuorumMemberOptions) {
-    const {settings, disk, links, clock, timers} = options;
+    const {settings, disk, connections: links, clock, timers} = options;
     this.manager = QuorumManager.create({
       settings,
       disk,
-      links,
+      connections: links,
       clock,
       timers,
       findRuntime: () => this.raftRuntime,
--- a/src/control/raft_runtime.ts
+++ b/src/control/raft_runtime.ts
@@ -15,7 +15,7 @@
 import {RaftMessage} from '../protocol/raft_message';
 import {ClusterState} from '../state/cluster_state';
 import {CommandResult} from '../state/command_result';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {LogRecord} from '../state/log_record';
 import {ControlError} from './control_error';
 import {createLogRecords} from './create_log_records';
@@ -41,7 +41,7 @@
 
 /** Dependencies and callbacks of the runtime. */
 interface RaftRuntimeOptions {
-  readonly disk: ControlDisk;
+  readonly disk: ControlDataFolder;
   readonly clock: Clock;
   /** Reports suspensions of the machine, which `clock` does not count. */
   readonly leaseClock?: Pick<LeaseClock, 'pausedAt'>;
@@ -72,7 +72,7 @@
   private clusterState: ClusterState;
   private readonly diskJobs: DiskJob[] = [];
   private readonly snapshotJobs: Array<
-    NonNullable<ControlDisk['snapshots']['current']>
+    NonNullable<ControlDataFolder['snapshots']['current']>
   > = [];
   /** Index of the newest snapshot that was taken, whether it is on disk yet or not. */
   private plannedIndex = 0;
--- a/src/control/rate_limit_service.ts
+++ b/src/control/rate_limit_service.ts
@@ -1,12 +1,12 @@
 /** Keeps the rate limits that backend servers announce, and issues gateways permits within them, on the leader. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {LimitLines} from '../common/limit_lines';
+import {RateLimitEventLog} from '../common/rate_limit_event_log';
 import {AdvertisedLimits} from '../coordination/limits/advertised_limits';
 import {PermitIssuer} from '../coordination/limits/permit_issuer';
 import {permitTiming} from '../coordination/limits/permit_timing';
 import {ControlMessage} from '../protocol/control_message';
-import {LimitWord} from '../protocol/limit_word';
+import {RateLimitReport} from '../protocol/rate_limit_report';
 import {MessageOf} from '../protocol/message_of';
 import {BackendRegistry} from './backend_registry';
 import {RaftRuntime} from './raft_runtime';
@@ -43,10 +43,10 @@
   private term = -1;
   private expiredAt = -Infinity;
 
-  private readonly lines: LimitLines;
+  private readonly eventLog: RateLimitEventLog;
 
   private constructor(private readonly options: RateLimitServiceOptions) {
-    this.lines = LimitLines.create(options.events, options.clock);
+    this.eventLog = RateLimitEventLog.create(options.events, options.clock);
   }
 
   /**
@@ -66,7 +66,7 @@
   }
 
   /** The changes since the version with this tag, or the whole table if they aren't known. */
-  listChangesSince(tag: string): LimitWord[] {
+  listChangesSince(tag: string): RateLimitReport[] {
     const now = this.options.clock.now();
     const prefix = this.readTag().slice(0, -String(this.changeCount).length);
     const missed = this.changeCount - Number(tag.slice(prefix.length));
@@ -79,7 +79,7 @@
   }
 
   /** Records the limits that a gateway learned from responses, or from the previous leader. */
-  recordReports(gatewayId: string, reports: readonly LimitWord[]): void {
+  recordReports(gatewayId: string, reports: readonly RateLimitReport[]): void {
     this.refresh();
     reports.forEach(report => this.recordReport(gatewayId, report));
   }
@@ -102,7 +102,7 @@
     },
   };
 
-  private recordReport(gatewayId: string, report: LimitWord): void {
+  private recordReport(gatewayId: string, report: RateLimitReport): void {
     const {clock, notify} = this.options;
     const {incarnation, perSecond, msAgo} = report;
     const at = clock.now() - msAgo;
@@ -124,7 +124,7 @@
       this.changeCount += 1;
       notify();
     }
-    this.lines.record({
+    this.eventLog.record({
       incarnation,
       perSecond,
       before,
--- a/src/control/registration_service.ts
+++ b/src/control/registration_service.ts
@@ -1,7 +1,7 @@
 /** Serves registrations and deregistrations of backend servers on the leader. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {BackendRegistration} from '../protocol/backend_registration';
 import {ControlMessage} from '../protocol/control_message';
 import {MessageOf} from '../protocol/message_of';
@@ -31,10 +31,10 @@
 
 /** Records registrations and retires backend servers that leave; its caller checks that this process leads. */
 export class RegistrationService {
-  private readonly lines: ThrottledLines;
+  private readonly eventLog: ThrottledEventLog;
 
   private constructor(private readonly options: RegistrationServiceOptions) {
-    this.lines = ThrottledLines.create(options.events, options.clock);
+    this.eventLog = ThrottledEventLog.create(options.events, options.clock);
   }
 
   /**
@@ -157,7 +157,7 @@
     {incarnation, pool, address, sequence}: BackendRegistration,
     reason: string,
   ): void {
-    this.lines.record('registration', {
+    this.eventLog.record('registration', {
       type: 'registration-refused',
       subject: 'host',
       id: incarnation,
--- a/src/control/suspect_service.ts
+++ b/src/control/suspect_service.ts
@@ -65,7 +65,7 @@
     const before = runtime.state.suspects.version;
     const report = {time, crashes, released, cleared};
     const newCrashes = crashes.filter(
-      ({incarnation}) => !runtime.state.suspects.hasEnded(incarnation),
+      ({incarnation}) => !runtime.state.suspects.hasCrashed(incarnation),
     );
     await runtime.propose({type: 'record-suspects', ...report});
     newCrashes.forEach(({incarnation}) =>
@@ -110,7 +110,7 @@
     const {runtime, events} = this.options;
     const {suspects} = runtime.state;
     const time = Date.now();
-    if (suspects.isBusy(name, incarnation, time)) {
+    if (suspects.isTrialBlocked(name, incarnation, time)) {
       return {type: 'trial-answer', call, verdict: 'busy'};
     }
     const before = suspects.version;
@@ -145,7 +145,7 @@
 
   private recordChanges(before: number): void {
     const {suspects} = this.options.runtime.state;
-    const {suspected, convicted, freed} = suspects.describeSince(before);
+    const {suspected, convicted, freed} = suspects.listChangesSince(before);
     const recordAll = (type: string, names: readonly string[]) =>
       names.forEach(name => this.recordStanding(type, name));
     recordAll('request-suspected', suspected);
--- a/src/coordination/groups/create_engine_plan_input.ts
+++ b/src/coordination/groups/create_engine_plan_input.ts
@@ -32,7 +32,7 @@
   const applyShares = (profile: EngineProfile): EnginePlanInput => ({
     ...input,
     profile,
-    usual: computeDesiredGroups(profile, domains),
+    desiredGroups: computeDesiredGroups(profile, domains),
   });
   const counts = ModelCounts.createWithHeld(input);
   const {profile, shifted, recipientModel} = adjuster.update({
--- a/src/coordination/groups/plan_consolidation.ts
+++ b/src/coordination/groups/plan_consolidation.ts
@@ -40,7 +40,7 @@
 /** Checks whether an overloaded model has no other group: it would not be served while this one slowly drains. */
 function isNeeded(
   {name, model}: EngineGroup,
-  {groups, isPressed}: EnginePlanInput,
+  {groups, isSaturated: isPressed}: EnginePlanInput,
 ): boolean {
   const hasOther = groups.some(
     other => other.model === model && other.name !== name && !other.isEnding,
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -113,14 +113,14 @@
   }
   return input.profile.models.flatMap(model => {
     const lacksGroups =
-      input.isPressed(model.name) || isBelowDesired(model, input, counts);
+      input.isSaturated(model.name) || isBelowDesired(model, input, counts);
     return (lacksGroups && reserveEngines(model, free, input)) || [];
   });
 }
 
 function isBelowDesired(
   {name}: Model,
-  {usual}: EnginePlanInput,
+  {desiredGroups: usual}: EnginePlanInput,
   counts: ModelCounts,
 ): boolean {
   return counts.countGroups(name) < (usual.get(name) ?? 0);
@@ -200,7 +200,7 @@
   const needsLoad = readyMs >= model.loadMs;
   const spares = countSpares(model, domain, input, isBelow, needsLoad);
   // After the cold start, weights are loaded before a group is formed with them.
-  const {isFirstStart} = input;
+  const {isColdStart: isFirstStart} = input;
   if (hosts.length - spares < model.size || (needsLoad && !isFirstStart)) {
     return undefined;
   }
@@ -228,7 +228,7 @@
   free: readonly BackendView[],
   counts: ModelCounts,
 ): FormationOption[] {
-  const desiredGroups = input.usual.get(model.name) ?? 0;
+  const desiredGroups = input.desiredGroups.get(model.name) ?? 0;
   const isFewGroups =
     counts.countGroups(model.name) <
     desiredGroups * CROSS_DOMAIN_BELOW_FRACTION;
@@ -284,7 +284,7 @@
   if (!needsLoad && isBelow) {
     return 0;
   }
-  if (!needsLoad && input.isPressed(model.name)) {
+  if (!needsLoad && input.isSaturated(model.name)) {
     return 1;
   }
   const hosts = input.backends.filter(
--- a/src/coordination/limits/advertised_limits.ts
+++ b/src/coordination/limits/advertised_limits.ts
@@ -2,7 +2,7 @@
  * Rate limits that backend servers advertise in their responses. Updates may come
  * from several sources and in any order; the newest one wins.
  */
-import {LimitWord} from '../../protocol/limit_word';
+import {RateLimitReport} from '../../protocol/rate_limit_report';
 
 /** How long the end of a limit is remembered, so that an older update does not restore the limit. */
 const END_RETENTION_MS = 10_000;
@@ -75,7 +75,7 @@
   }
 
   /** Returns updates for another process, for those of the backend servers about which anything is known. */
-  describe(incarnations: readonly string[], now: number): LimitWord[] {
+  describe(incarnations: readonly string[], now: number): RateLimitReport[] {
     return incarnations.flatMap(incarnation => {
       const known = this.limits.get(incarnation);
       const at = known?.advertisedAt ?? this.endedAt.get(incarnation);
--- a/src/coordination/requests/attempt_tracker.ts
+++ b/src/coordination/requests/attempt_tracker.ts
@@ -1,5 +1,5 @@
 /** Attempts that were sent to a host process, and how they ended. */
-import {Outcome} from '../../protocol/outcome';
+import {RequestOutcome} from '../../protocol/request_outcome';
 
 /** Far longer than any start-by time, so that no delayed frame outlives its tombstone. */
 const RETENTION_MS = 10 * 60_000;
@@ -8,7 +8,7 @@
 type AttemptState =
   | {readonly status: 'never-started'}
   | {readonly status: 'running'}
-  | {readonly status: 'ended'; readonly outcome: Outcome};
+  | {readonly status: 'ended'; readonly outcome: RequestOutcome};
 
 interface Entry {
   state: AttemptState;
@@ -47,7 +47,7 @@
   }
 
   /** Records how a started attempt ended. */
-  end(attemptId: string, outcome: Outcome): void {
+  end(attemptId: string, outcome: RequestOutcome): void {
     const entry = this.entries.get(attemptId);
     if (entry?.state.status === 'running') {
       entry.state = {status: 'ended', outcome};
--- a/src/coordination/requests/check_dispatch.ts
+++ b/src/coordination/requests/check_dispatch.ts
@@ -1,7 +1,7 @@
 /** Validates a dispatched request before a host process starts it. */
 import {Group} from '../../protocol/group';
 import {MessageOf} from '../../protocol/message_of';
-import {WorkMessage} from '../../protocol/work_message';
+import {RequestMessage} from '../../protocol/request_message';
 
 /** State of the host process when a dispatch arrives. */
 interface DispatchContext {
@@ -19,7 +19,7 @@
   readonly now: number;
 }
 
-type Dispatch = MessageOf<WorkMessage, 'dispatch'>;
+type Dispatch = MessageOf<RequestMessage, 'dispatch'>;
 type Check = (
   context: DispatchContext,
   dispatch: Dispatch,
--- a/src/coordination/requests/decide_retry.ts
+++ b/src/coordination/requests/decide_retry.ts
@@ -1,9 +1,9 @@
 /** Retry policy for failed attempts. */
-import {Outcome} from '../../protocol/outcome';
+import {RequestOutcome} from '../../protocol/request_outcome';
 
 /** State of a request after an attempt. */
 interface RetryContext {
-  readonly outcome: Outcome;
+  readonly outcome: RequestOutcome;
   readonly isRepeatable: boolean;
   /** Part of a response has reached the caller. */
   readonly hasDelivered: boolean;
--- a/src/entry/attempt_events.ts
+++ b/src/entry/attempt_callbacks.ts
@@ -1,7 +1,7 @@
-import {Outcome} from '../protocol/outcome';
+import {RequestOutcome} from '../protocol/request_outcome';
 
 /** What becomes of one attempt, told step by step to whoever started it. */
-export interface AttemptEvents {
+export interface AttemptCallbacks {
   readonly onHead: (
     status: number,
     headers: Readonly<Record<string, string>>,
@@ -14,9 +14,9 @@
 
 /** How an attempt ended for the entry. */
 interface AttemptEnd {
-  readonly outcome: Outcome;
+  readonly outcome: RequestOutcome;
   readonly reason: string;
   readonly retryAfterMs?: number;
   /** The connection went away, so the host process may know more. */
-  readonly isLinkLost?: boolean;
+  readonly isConnectionLost?: boolean;
 }
--- a/src/entry/host_link.ts
+++ b/src/entry/host_connection.ts
@@ -4,26 +4,28 @@
 import {Message} from '../protocol/message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
-import {WorkMessage} from '../protocol/work_message';
-import {TransportSecurity} from '../transport/transport_security';
-import {AttemptEvents} from './attempt_events';
+import {RequestMessage} from '../protocol/request_message';
+import {TlsCredentials} from '../transport/tls_credentials';
+import {AttemptCallbacks} from './attempt_callbacks';
 
 const TOMBSTONE_TIMEOUT_MS = 1_500;
 const CREDIT_BYTES = 256 * 1024;
 
-type TombstoneAnswer = MessageOf<WorkMessage, 'tombstone-answer'>;
+type TombstoneAnswer = MessageOf<RequestMessage, 'tombstone-answer'>;
 type DispatchFields = Omit<
-  MessageOf<WorkMessage, 'dispatch'>,
+  MessageOf<RequestMessage, 'dispatch'>,
   'type' | 'stream' | 'startBy' | 'credit' | 'incarnation'
 >;
 
 interface OpenAttempt {
-  readonly events: AttemptEvents;
+  readonly events: AttemptCallbacks;
   nextSequence: number;
 }
 
 type Handlers = {
-  [T in WorkMessage['type']]?: (message: MessageOf<WorkMessage, T>) => void;
+  [T in RequestMessage['type']]?: (
+    message: MessageOf<RequestMessage, T>,
+  ) => void;
 };
 
 /** What a link needs. */
@@ -31,12 +33,12 @@
   readonly address: string;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   readonly onClosed: () => void;
 }
 
 /** Sends dispatches to one host process and sorts its frames by attempt. */
-export class HostLink {
+export class HostConnection {
   private readonly attempts = new Map<number, OpenAttempt>();
   private readonly tombstones = new Map<
     string,
@@ -46,7 +48,7 @@
   /** The host's clock as it last told it, and ours when that came. */
   private hostClock:
     {readonly theirs: number; readonly ours: number} | undefined;
-  private reportedRunning = 0;
+  private lastReportedCount = 0;
 
   private constructor(
     private readonly peer: Peer,
@@ -65,13 +67,13 @@
    * @example
    * const link = await HostLink.connect({address, identity, clock, onClosed});
    */
-  static async connect(options: HostLinkOptions): Promise<HostLink> {
+  static async connect(options: HostLinkOptions): Promise<HostConnection> {
     const peer = await connectPeer(
       options.address,
       options.identity,
       options.security,
     );
-    return new HostLink(peer, options);
+    return new HostConnection(peer, options);
   }
 
   get isOpen(): boolean {
@@ -84,13 +86,13 @@
   }
 
   /** Attempts of this entry on the link. */
-  get ownRunning(): number {
+  get ownAttemptCount(): number {
     return this.attempts.size;
   }
 
   /** Attempts of all entries as the host last reported. */
-  get totalRunning(): number {
-    return this.reportedRunning;
+  get reportedAttemptCount(): number {
+    return this.lastReportedCount;
   }
 
   /**
@@ -102,7 +104,7 @@
   dispatch(
     fields: DispatchFields,
     startWithinMs: number,
-    events: AttemptEvents,
+    events: AttemptCallbacks,
   ): () => void {
     const stream = ++this.lastStream;
     if (!this.peer.isOpen || !this.hostClock) {
@@ -146,7 +148,7 @@
   private readonly handlers: Handlers = {
     clock: ({now, running}) => {
       this.hostClock = {theirs: now, ours: this.options.clock.now()};
-      this.reportedRunning = running;
+      this.lastReportedCount = running;
     },
     head: ({stream, status, headers}) => {
       this.attempts.get(stream)?.events.onHead(status, headers);
@@ -161,14 +163,14 @@
   };
 
   private receive(message: Message): void {
-    this.handlers[message.type as WorkMessage['type']]?.(message as never);
+    this.handlers[message.type as RequestMessage['type']]?.(message as never);
   }
 
   private receiveData({
     stream,
     sequence,
     bytes,
-  }: MessageOf<WorkMessage, 'data'>): void {
+  }: MessageOf<RequestMessage, 'data'>): void {
     const attempt = this.attempts.get(stream);
     if (!attempt) {
       return;
@@ -185,7 +187,7 @@
     });
   }
 
-  private receiveEnd(message: MessageOf<WorkMessage, 'end'>): void {
+  private receiveEnd(message: MessageOf<RequestMessage, 'end'>): void {
     const {stream, frames, outcome, reason} = message;
     const attempt = this.attempts.get(stream);
     const isShort = attempt !== undefined && attempt.nextSequence !== frames;
@@ -199,7 +201,7 @@
 
   private finish(
     stream: number,
-    end: Parameters<AttemptEvents['onEnd']>[0],
+    end: Parameters<AttemptCallbacks['onEnd']>[0],
   ): void {
     const attempt = this.attempts.get(stream);
     this.attempts.delete(stream);
@@ -210,7 +212,7 @@
     this.options.onClosed();
     const reason = 'the connection to the host process broke';
     for (const stream of [...this.attempts.keys()]) {
-      this.finish(stream, {outcome: 'unknown', reason, isLinkLost: true});
+      this.finish(stream, {outcome: 'unknown', reason, isConnectionLost: true});
     }
     for (const finish of [...this.tombstones.values()]) {
       finish(undefined);
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,7 +1,7 @@
 /** Sends a request to one backend server once, and classifies each way in which that can end. */
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
-import {HttpOrigins} from '../transport/http_origins';
+import {HttpClientPool} from '../transport/http_client_pool';
 import {AttemptOutcome} from './attempt_outcome';
 import {BackendSignals} from './backend_signals';
 import {GatewayRequest} from './gateway_request';
@@ -20,7 +20,7 @@
   readonly remainingMs: number;
   readonly lastEventId?: string;
   readonly maxConnections: number;
-  readonly origins: HttpOrigins;
+  readonly clientPool: HttpClientPool;
   readonly balancer: LoadBalancer;
   readonly signals: BackendSignals;
   readonly dialect: HttpDialect;
@@ -36,7 +36,7 @@
 export class Attempt {
   /** When the attempt was created, the body last received data or reading was resumed, whichever is newest. */
   quietSince: number;
-  private handle: ReturnType<HttpOrigins['call']> | undefined;
+  private handle: ReturnType<HttpClientPool['call']> | undefined;
   private head: ResponseHead | undefined;
   private hasBodyData = false;
   private isSent = false;
@@ -118,7 +118,14 @@
   }
 
   private send(): void {
-    const {request, body, target, dialect, origins, balancer} = this.options;
+    const {
+      request,
+      body,
+      target,
+      dialect,
+      clientPool: origins,
+      balancer,
+    } = this.options;
     const {workspace, remainingMs, lastEventId, maxConnections} = this.options;
     const {incarnation, address} = target;
     balancer.recordRequestStart(incarnation, request.promptTokens);
--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -4,11 +4,11 @@
  */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {LimitLines} from '../common/limit_lines';
+import {RateLimitEventLog} from '../common/rate_limit_event_log';
 import {AdvertisedLimits} from '../coordination/limits/advertised_limits';
 import {PermitRequestPacer} from '../coordination/limits/permit_request_pacer';
 import {permitTiming} from '../coordination/limits/permit_timing';
-import {LimitWord} from '../protocol/limit_word';
+import {RateLimitReport} from '../protocol/rate_limit_report';
 import {PermitVerdict} from '../protocol/permit_verdict';
 import {SendPermit} from './send_permit';
 
@@ -33,9 +33,9 @@
    */
   readonly leaseClock: Clock;
   readonly events: EventRing;
-  readonly askPermit: (limit: LimitWord) => Promise<PermitVerdict>;
+  readonly askPermit: (limit: RateLimitReport) => Promise<PermitVerdict>;
   /** Called when the control plane should be told of a limit at once. */
-  readonly onNews: () => void;
+  readonly reportNow: () => void;
 }
 
 /** The permit for a backend server without a rate limit. */
@@ -44,7 +44,7 @@
 /** Shared by all requests of a gateway. */
 export class BackendRateLimits {
   private readonly limits = AdvertisedLimits.create();
-  private readonly pacings = new Map<string, PermitRequestPacer>();
+  private readonly pacers = new Map<string, PermitRequestPacer>();
   /**
    * The last limit of each backend server that was exchanged with a leader,
    * with that leader's name.
@@ -54,10 +54,10 @@
   /** No permit is requested before this time, since no leader answered. */
   private pausedUntil = -Infinity;
 
-  private readonly lines: LimitLines;
+  private readonly eventLog: RateLimitEventLog;
 
   private constructor(private readonly options: BackendRateLimitsOptions) {
-    this.lines = LimitLines.create(options.events, options.clock);
+    this.eventLog = RateLimitEventLog.create(options.events, options.clock);
   }
 
   /**
@@ -76,7 +76,7 @@
     perSecond: number | undefined,
     sentAt: number,
   ): void {
-    const {clock, onNews} = this.options;
+    const {clock, reportNow: onNews} = this.options;
     const wasLimited = this.isLimited(incarnation);
     this.apply({
       incarnation,
@@ -99,7 +99,7 @@
   /** False if a permit can't be obtained now. */
   isAvailable(incarnation: string): boolean {
     const now = this.options.clock.now();
-    const canAsk = this.pacings.get(incarnation)?.canRequest(now) ?? true;
+    const canAsk = this.pacers.get(incarnation)?.canRequest(now) ?? true;
     return !this.isLimited(incarnation) || (canAsk && now >= this.pausedUntil);
   }
 
@@ -110,7 +110,7 @@
     if (!limit || limit.perSecond === null) {
       return UNLIMITED_PERMIT;
     }
-    const pacing = this.findPacing(incarnation);
+    const pacing = this.findPacer(incarnation);
     const askedAt = leaseClock.now();
     pacing.startRequest();
     const verdict = await askPermit(limit).catch(() => undefined);
@@ -140,7 +140,7 @@
     const now = this.options.clock.now();
     const pacings = incarnations
       .filter(incarnation => this.isLimited(incarnation))
-      .map(incarnation => this.findPacing(incarnation));
+      .map(incarnation => this.findPacer(incarnation));
     const times = pacings.map(pacing => pacing.computeRetryAfterMs(now));
     const inMs = Math.max(0, Math.min(Infinity, ...times));
     pacings[times.indexOf(Math.min(...times))]?.recordRetryAfter(inMs, now);
@@ -151,7 +151,7 @@
    * Describes what the control plane should know: the version of the table held
    * here, and the limits that its leader was not told.
    */
-  describeNews(): {limitsTag: string; limits: LimitWord[]} {
+  describeChanges(): {limitsTag: string; limits: RateLimitReport[]} {
     const held = this.limits.list();
     const unreported = this.limits
       .describe(held, this.options.clock.now())
@@ -171,10 +171,10 @@
    *
    * @param sent the limits that were sent to it
    */
-  applyNews(
-    sent: readonly LimitWord[],
+  applyChanges(
+    sent: readonly RateLimitReport[],
     tag: string,
-    received: readonly LimitWord[],
+    received: readonly RateLimitReport[],
   ): void {
     const now = this.options.clock.now();
     this.tag = tag;
@@ -196,7 +196,7 @@
   expire(isKnown: (incarnation: string) => boolean): void {
     this.limits.expire(this.options.clock.now(), isKnown);
     const held = new Set(this.limits.list());
-    for (const table of [this.pacings, this.reported]) {
+    for (const table of [this.pacers, this.reported]) {
       for (const incarnation of table.keys()) {
         if (!held.has(incarnation)) {
           table.delete(incarnation);
@@ -222,10 +222,10 @@
     }
     this.reported.delete(incarnation);
     if (perSecond === null) {
-      this.pacings.delete(incarnation);
+      this.pacers.delete(incarnation);
     }
     const announcedAt = perSecond === null ? (before?.advertisedAt ?? at) : at;
-    this.lines.record({
+    this.eventLog.record({
       incarnation,
       perSecond,
       before: before?.perSecond,
@@ -234,9 +234,9 @@
     });
   }
 
-  private findPacing(incarnation: string): PermitRequestPacer {
-    const pacing = this.pacings.get(incarnation) ?? PermitRequestPacer.create();
-    this.pacings.set(incarnation, pacing);
+  private findPacer(incarnation: string): PermitRequestPacer {
+    const pacing = this.pacers.get(incarnation) ?? PermitRequestPacer.create();
+    this.pacers.set(incarnation, pacing);
     return pacing;
   }
 }
@@ -247,7 +247,7 @@
  */
 function formatReported(
   tag: string,
-  {perSecond}: Pick<LimitWord, 'perSecond'>,
+  {perSecond}: Pick<RateLimitReport, 'perSecond'>,
 ): string {
   return `${tag.slice(0, tag.lastIndexOf('/'))} ${perSecond}`;
 }
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -2,7 +2,7 @@
  * What backend servers signal about themselves in response headers: rate
  * limits, backoffs and shutdowns.
  */
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {ResponseHead} from './response_head';
 import {BackendShutdowns} from './backend_shutdowns';
 import {BackendRateLimits} from './backend_rate_limits';
@@ -31,13 +31,13 @@
   readonly limits: BackendRateLimits;
   private readonly backoffs: BackendBackoffs;
   private readonly shutdowns: BackendShutdowns;
-  private readonly lines: ThrottledLines;
+  private readonly eventLog: ThrottledEventLog;
 
   private constructor(options: BackendSignalsOptions) {
     this.limits = BackendRateLimits.create(options);
     this.backoffs = BackendBackoffs.create(options);
     this.shutdowns = BackendShutdowns.create(options);
-    this.lines = ThrottledLines.create(options.events, options.clock);
+    this.eventLog = ThrottledEventLog.create(options.events, options.clock);
   }
 
   /**
@@ -157,7 +157,7 @@
   }
 
   private recordInvalidHeader(incarnation: string, unread: string): void {
-    this.lines.record('answer-header-ignored', {
+    this.eventLog.record('answer-header-ignored', {
       type: 'answer-header-ignored',
       subject: 'host',
       id: incarnation,
--- a/src/gateway/control_poller.ts
+++ b/src/gateway/control_poller.ts
@@ -6,7 +6,7 @@
 import {GatewayTarget} from '../protocol/gateway_target';
 import {MessageOf} from '../protocol/message_of';
 import {ModelDemand} from '../protocol/model_demand';
-import {SuspectNews} from '../protocol/suspect_news';
+import {SuspectUpdate} from '../protocol/suspect_update';
 import {rulesCodec} from '../protocol/rules_codec';
 import {BackendRateLimits} from './backend_rate_limits';
 import {RouteIndex} from './route_index';
@@ -26,7 +26,7 @@
   readonly answeringMsAgo: readonly number[];
   readonly running: Readonly<Record<string, number>>;
   /** Models whose requests were refused lately because no slot was free. */
-  readonly pressed: readonly string[];
+  readonly saturatedModels: readonly string[];
   readonly hasServed: boolean;
   /** Demand of callers, by model. */
   readonly demand: Readonly<Record<string, ModelDemand>>;
@@ -49,7 +49,7 @@
   ) => void;
   /** Returns the version of the list of suspected requests that this gateway has. */
   readonly readSuspectsVersion: () => number;
-  readonly onSuspects: (news: SuspectNews) => void;
+  readonly onSuspects: (news: SuspectUpdate) => void;
   /** Rate limits of backend servers, which gateways exchange through control. */
   readonly limits: Pick<BackendRateLimits, 'describeNews' | 'applyNews'>;
   readonly onTargets: (targets: ReadonlyMap<string, GatewayTarget>) => void;
@@ -143,7 +143,7 @@
     const {client, clock, gatewayId, collectReport} = this.options;
     const askedAt = clock.now();
     const report = collectReport();
-    const limitsReport = this.options.limits.describeNews();
+    const limitsReport = this.options.limits.describeChanges();
     const {tableTag} = this;
     const answer = await client.ask<'gateway-ask'>(
       {
@@ -155,7 +155,7 @@
         answering: [...report.answering],
         answeringMsAgo: [...report.answeringMsAgo],
         running: {...report.running},
-        pressed: [...report.pressed],
+        pressed: [...report.saturatedModels],
         hasServed: report.hasServed,
         isUrgent,
         suspectsVersion: this.options.readSuspectsVersion(),
@@ -167,7 +167,7 @@
     this.apply(answer, askedAt, tableTag);
     if (answer.limitsTag !== undefined) {
       const {limitsTag, limits = []} = answer;
-      this.options.limits.applyNews(limitsReport.limits, limitsTag, limits);
+      this.options.limits.applyChanges(limitsReport.limits, limitsTag, limits);
     }
   }
 
--- a/src/gateway/crash_containment.ts
+++ b/src/gateway/crash_containment.ts
@@ -3,7 +3,7 @@
  * death").
  */
 import {CrashReport} from '../protocol/crash_report';
-import {SuspectNews} from '../protocol/suspect_news';
+import {SuspectUpdate} from '../protocol/suspect_update';
 import {TrialVerdict} from '../protocol/trial_verdict';
 import {CrashDetector} from './crash_detector';
 import {InterruptedAttempt} from './interrupted_attempt';
@@ -57,7 +57,7 @@
   }
 
   /** Applies changes to the list from the control plane. */
-  apply(news: SuspectNews): void {
+  apply(news: SuspectUpdate): void {
     this.list.apply(news);
   }
 
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -2,7 +2,7 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {parseAddress} from '../protocol/parse_address';
-import {probeListening} from '../transport/probe_listening';
+import {probePort} from '../transport/probe_port';
 import {InterruptedAttempt} from './interrupted_attempt';
 
 /**
@@ -24,7 +24,7 @@
 /** The state of a backend server's process after a connection to it broke. */
 type ProcessState = 'ended' | 'alive' | 'unknown';
 
-interface Break {
+interface ConnectionLoss {
   readonly since: number;
   readonly attempts: InterruptedAttempt[];
   readonly state: Promise<ProcessState>;
@@ -46,12 +46,12 @@
 interface CrashDetectorOptions {
   readonly clock: Clock;
   readonly events: EventRing;
-  readonly probe?: typeof probeListening;
+  readonly probe?: typeof probePort;
 }
 
 /** Probes once per break, however many requests it affects. */
 export class CrashDetector {
-  private readonly breaks = new Map<string, Break>();
+  private readonly connectionLosses = new Map<string, ConnectionLoss>();
 
   private constructor(private readonly options: CrashDetectorOptions) {}
 
@@ -70,28 +70,28 @@
   detectState(attempt: InterruptedAttempt): Promise<ProcessState> {
     const {incarnation} = attempt.target;
     const now = this.options.clock.now();
-    const known = this.breaks.get(incarnation);
+    const known = this.connectionLosses.get(incarnation);
     if (known && now - known.since < BREAK_WINDOW_MS) {
       known.attempts.push(attempt);
       return known.state;
     }
     const attempts = [attempt];
     const state = this.probe(attempt);
-    this.breaks.set(incarnation, {since: now, attempts, state});
+    this.connectionLosses.set(incarnation, {since: now, attempts, state});
     void state.then(found => this.record(attempt.target, found, attempts));
     this.expire(now);
     return state;
   }
 
   private async probe({target}: InterruptedAttempt): Promise<ProcessState> {
-    const {probe = probeListening} = this.options;
+    const {probe = probePort} = this.options;
     return STATES[await probe(parseAddress(target.address), PROBE_MS)];
   }
 
   private expire(now: number): void {
-    for (const [incarnation, {since}] of this.breaks) {
+    for (const [incarnation, {since}] of this.connectionLosses) {
       if (now - since >= BREAK_WINDOW_MS) {
-        this.breaks.delete(incarnation);
+        this.connectionLosses.delete(incarnation);
       }
     }
   }
--- a/src/gateway/create_backend_signals.ts
+++ b/src/gateway/create_backend_signals.ts
@@ -11,7 +11,7 @@
   readonly client: Pick<ControlClient, 'ask'>;
   readonly events: EventRing;
   /** Called when the control plane should be told of a change at once. */
-  readonly onNews: () => void;
+  readonly reportNow: () => void;
 }
 
 /**
@@ -25,15 +25,15 @@
   gatewayId,
   client,
   events,
-  onNews,
+  reportNow: onNews,
 }: SignalSource): BackendSignals {
   const wall = () => Date.now();
   return BackendSignals.create({
     clock: systemClock,
-    leaseClock: LeaseClock.create({steady: systemClock, wall}),
+    leaseClock: LeaseClock.create({monotonic: systemClock, wall}),
     events,
     random: Math.random,
-    onNews,
+    reportNow: onNews,
     reportLeaving(incarnations) {
       const ask = {type: 'leaving-ask' as const, gatewayId, incarnations};
       return client.ask<'leaving-ask'>(ask);
--- a/src/gateway/create_forecast_keys.ts
+++ b/src/gateway/create_forecast_keys.ts
@@ -11,7 +11,7 @@
   /** Requests of one route at one pool take similar times. */
   readonly work: string;
   /** The queue for slots: one per pool and model; none for services without engines. */
-  readonly line: string | undefined;
+  readonly queue: string | undefined;
 }
 
 /**
@@ -24,6 +24,6 @@
   const {route, pool, model = ''} = input;
   return {
     work: `${route.name} ${pool.name}`,
-    line: pool.engine && `${pool.name} ${model}`,
+    queue: pool.engine && `${pool.name} ${model}`,
   };
 }
--- a/src/gateway/gateway_shutdown.ts
+++ b/src/gateway/gateway_shutdown.ts
@@ -1,8 +1,8 @@
 /** Graceful shutdown of a gateway: which requests it still admits, and when refused callers should retry. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {runStop} from '../common/run_stop';
-import {StopSchedule} from '../common/stop_schedule';
+import {runGracefulShutdown} from '../common/run_graceful_shutdown';
+import {ShutdownSchedule} from '../common/shutdown_schedule';
 import {SlidingMaximum} from './sliding_maximum';
 import {Refusal} from './refusal';
 
@@ -30,7 +30,7 @@
 
 /** Runs the shutdown and admits or refuses the requests that arrive meanwhile. */
 export class GatewayShutdown {
-  private readonly schedule: StopSchedule;
+  private readonly schedule: ShutdownSchedule;
   private readonly longestTimes: SlidingMaximum;
   /** From the start of this process until it listened, in milliseconds. */
   private startupMs = 0;
@@ -39,7 +39,7 @@
 
   private constructor(private readonly options: GatewayShutdownOptions) {
     const {withinMs, clock} = options;
-    this.schedule = StopSchedule.create({withinMs});
+    this.schedule = ShutdownSchedule.create({timeoutMs: withinMs});
     this.longestTimes = SlidingMaximum.create(clock);
   }
 
@@ -54,7 +54,7 @@
   }
 
   get hasBegun(): boolean {
-    return this.schedule.hasBegun;
+    return this.schedule.hasStarted;
   }
 
   /** Records when the gateway began to listen, in milliseconds after its process started. */
@@ -70,11 +70,11 @@
   /** Returns a refusal for a request that this gateway could not finish before it stops. */
   admit(request: RequestDuringStop): Refusal | undefined {
     const {schedule} = this;
-    if (!schedule.hasBegun) {
+    if (!schedule.hasStarted) {
       return undefined;
     }
     const longestMs = this.findLongestMs(request);
-    if (schedule.canTake(this.options.clock.now(), longestMs)) {
+    if (schedule.canAccept(this.options.clock.now(), longestMs)) {
       this.admittedDuringStop += 1;
       return undefined;
     }
@@ -91,7 +91,7 @@
    */
   async run(
     steps: Pick<
-      Parameters<typeof runStop>[0],
+      Parameters<typeof runGracefulShutdown>[0],
       'countTaken' | 'countOpen' | 'stopAccepting' | 'giveUp'
     >,
   ): Promise<void> {
@@ -103,7 +103,11 @@
         underWay: steps.countTaken(),
       },
     );
-    const end = await runStop({...steps, clock, schedule: this.schedule});
+    const end = await runGracefulShutdown({
+      ...steps,
+      clock,
+      schedule: this.schedule,
+    });
     const isComplete = end.givenUp === 0;
     this.record(
       'gateway-stopped',
@@ -122,7 +126,9 @@
    * finished their requests and restarted. All others can use another gateway now.
    */
   private computeRetryAfterMs(request: RequestDuringStop): number {
-    const isNoticed = this.schedule.isNoticed(this.options.clock.now());
+    const isNoticed = this.schedule.isNoticePeriodOver(
+      this.options.clock.now(),
+    );
     const hasNoAlternative = isNoticed && request.isOnNewConnection;
     const restartedInMs = this.findLongestMs(request) + this.startupMs;
     const delayMs = hasNoAlternative ? restartedInMs : RECONNECT_DELAY_MS;
--- a/src/gateway/proxied_request_options.ts
+++ b/src/gateway/proxied_request_options.ts
@@ -1,7 +1,7 @@
 /** The request, its route and the components of the gateway that proxy it. */
 import {Clock} from '../common/clock';
 import {GatewayRules} from '../protocol/gateway_rules';
-import {HttpOrigins} from '../transport/http_origins';
+import {HttpClientPool} from '../transport/http_client_pool';
 import {BackendSignals} from './backend_signals';
 import {CrashContainment} from './crash_containment';
 import {GatewayRequest} from './gateway_request';
@@ -25,7 +25,7 @@
   /** In milliseconds of this process's monotonic clock. */
   readonly arrivedAt: number;
   readonly response: ResponseWriter;
-  readonly origins: HttpOrigins;
+  readonly clientPool: HttpClientPool;
   readonly balancer: LoadBalancer;
   readonly budget: RetryBudget;
   readonly forecast: SlotForecast;
--- a/src/gateway/send_error_response.ts
+++ b/src/gateway/send_error_response.ts
@@ -31,7 +31,7 @@
   }
   const isNotRun = status === ERROR_STATUS.notRun;
   const isContained = status === ERROR_STATUS.cannotBeRun;
-  const retryAfterMs = isNotRun ? wait.computeReturnMs() : undefined;
+  const retryAfterMs = isNotRun ? wait.computeRetryAfterMs() : undefined;
   response.sendError({status, reason, retryAfterMs}, requestId);
   const outcome = isNotRun ? 'refused' : isContained ? 'contained' : 'failed';
   return {outcome, status};
--- a/src/gateway/slot_wait.ts
+++ b/src/gateway/slot_wait.ts
@@ -14,7 +14,7 @@
   readonly forecast: SlotForecast;
   readonly clock: Clock;
   /** Key of the queue for a slot; undefined for services without slots. */
-  readonly line: string | undefined;
+  readonly queue: string | undefined;
   /** Key under which the forecast keeps the request's time to the first event. */
   readonly work: string;
   readonly objectiveMs: number;
@@ -56,8 +56,8 @@
    * const wait = SlotWait.create({forecast, clock, line, work, objectiveMs, arrivedAt, deadlineAt, maxRetryAfterFraction, maxPauseMs, reserveRetry, findRepairMs});
    */
   static create(options: SlotWaitOptions): SlotWait {
-    if (options.line !== undefined) {
-      options.forecast.recordArrival(options.line);
+    if (options.queue !== undefined) {
+      options.forecast.recordArrival(options.queue);
     }
     return new SlotWait(options);
   }
@@ -68,7 +68,7 @@
 
   /** True if no request is ahead in the queue. */
   get isFirstInQueue(): boolean {
-    const {forecast, line} = this.options;
+    const {forecast, queue: line} = this.options;
     return line === undefined || forecast.countAhead(line, this) === 0;
   }
 
@@ -81,7 +81,7 @@
    * queue waits for the next slot.
    */
   get canStartInTime(): boolean {
-    const {forecast, clock, line, work, objectiveMs} = this.options;
+    const {forecast, clock, queue: line, work, objectiveMs} = this.options;
     if (line === undefined) {
       return false;
     }
@@ -96,7 +96,7 @@
 
   /** Starts to wait in the queue for a slot. */
   joinQueue(): void {
-    const {forecast, line} = this.options;
+    const {forecast, queue: line} = this.options;
     if (line !== undefined) {
       forecast.joinQueue(line, this);
       this.isForSlot = true;
@@ -134,9 +134,14 @@
    * Returns the delay after which the caller of a refused request should retry,
    * in milliseconds.
    */
-  computeReturnMs(): number {
-    const {forecast, line, clock, deadlineAt, maxRetryAfterFraction} =
-      this.options;
+  computeRetryAfterMs(): number {
+    const {
+      forecast,
+      queue: line,
+      clock,
+      deadlineAt,
+      maxRetryAfterFraction,
+    } = this.options;
     const leftMs = deadlineAt - clock.now();
     const {inMs: availableInMs, isOnlyOption} = this.options.reserveRetry();
     return computeRetryAfterMs({
@@ -151,14 +156,14 @@
 
   /** Records that the engine has finished the request. */
   recordSlotFreed(): void {
-    const {forecast, line} = this.options;
+    const {forecast, queue: line} = this.options;
     if (line !== undefined) {
       forecast.recordSlotFreed(line);
     }
   }
 
   end(): void {
-    const {forecast, line} = this.options;
+    const {forecast, queue: line} = this.options;
     if (line !== undefined) {
       forecast.leaveQueue(line, this);
     }
--- a/src/gateway/stall_detector.ts
+++ b/src/gateway/stall_detector.ts
@@ -24,7 +24,7 @@
    * Returns the usual time to the start of a response, or the objective without
    * samples.
    */
-  readonly findUsualStartMs: () => number;
+  readonly findExpectedStartMs: () => number;
   /** Returns the longest recent time to the start of a response. */
   readonly findLongestStartMs: () => number;
 }
@@ -83,7 +83,11 @@
     now: number,
   ): 'target' | 'connection' | undefined {
     const {balancer} = this;
-    const {stallMs, findUsualStartMs, findLongestStartMs} = this.thresholds;
+    const {
+      stallMs,
+      findExpectedStartMs: findUsualStartMs,
+      findLongestStartMs,
+    } = this.thresholds;
     const {incarnation} = attempt.target;
     const quietMs = now - attempt.quietSince;
     const isEventDue = attempt.hasStarted || balancer.isStalled(incarnation);
--- a/src/gateway/suspect_list.ts
+++ b/src/gateway/suspect_list.ts
@@ -2,7 +2,7 @@
  * The requests that this gateway must hold back: those listed by the control
  * plane, and its own observations that the control plane may not know yet.
  */
-import {SuspectNews} from '../protocol/suspect_news';
+import {SuspectUpdate} from '../protocol/suspect_update';
 import {RequestIdentity} from './request_identity';
 
 /**
@@ -53,7 +53,7 @@
    * Applies changes from the control plane; ignores those older than the list
    * held here.
    */
-  apply(news: SuspectNews): void {
+  apply(news: SuspectUpdate): void {
     if (news.version < this.listVersion) {
       return;
     }
--- a/src/host/heartbeat_asker.ts
+++ b/src/host/heartbeat_poller.ts
@@ -6,7 +6,7 @@
 import {MembershipMessage} from '../protocol/membership_message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 
 const ASK_EVERY_MS = 150;
 
@@ -16,21 +16,21 @@
   readonly lease: GroupLease;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
 }
 
 /** Keeps a lease fresh while every member answers. */
-export class HeartbeatAsker {
+export class HeartbeatPoller {
   private readonly peers = new Map<string, Peer>();
   private readonly connecting = new Set<string>();
-  private readonly askedAt = new Map<number, number>();
+  private readonly sentAtByNonce = new Map<number, number>();
   private readonly timer: NodeJS.Timeout;
   private nonce = 0;
   private isClosed = false;
 
   private constructor(private readonly options: HeartbeatAskerOptions) {
-    this.timer = setInterval(() => this.askAll(), ASK_EVERY_MS);
-    this.askAll();
+    this.timer = setInterval(() => this.probeMembers(), ASK_EVERY_MS);
+    this.probeMembers();
   }
 
   /**
@@ -39,8 +39,8 @@
    * @example
    * const asker = HeartbeatAsker.create({group, lease, identity, clock});
    */
-  static create(options: HeartbeatAskerOptions): HeartbeatAsker {
-    return new HeartbeatAsker(options);
+  static create(options: HeartbeatAskerOptions): HeartbeatPoller {
+    return new HeartbeatPoller(options);
   }
 
   close(): void {
@@ -49,7 +49,7 @@
     this.peers.forEach(peer => peer.close());
   }
 
-  private askAll(): void {
+  private probeMembers(): void {
     const {group, lease, clock} = this.options;
     for (const member of lease.otherMembers) {
       const peer = this.peers.get(member.hostId);
@@ -58,7 +58,7 @@
         continue;
       }
       this.nonce += 1;
-      this.askedAt.set(this.nonce, clock.now());
+      this.sentAtByNonce.set(this.nonce, clock.now());
       peer.send({
         type: 'heartbeat-ask',
         groupId: group.id,
@@ -90,7 +90,7 @@
           this.receive(message);
         }
       });
-      this.askAll();
+      this.probeMembers();
     } catch {
       // The next round tries again; the lease runs out meanwhile.
     } finally {
@@ -102,7 +102,7 @@
     answer: MessageOf<MembershipMessage, 'heartbeat-answer'>,
   ): void {
     const {group, lease} = this.options;
-    const askedAt = this.askedAt.get(answer.nonce);
+    const askedAt = this.sentAtByNonce.get(answer.nonce);
     const isAboutGroup =
       answer.groupId === group.id && answer.epoch === group.epoch;
     if (askedAt === undefined || !isAboutGroup) {
@@ -117,11 +117,11 @@
 
   private removeOldNonces(): void {
     const MAX_NONCES = 1_024;
-    for (const nonce of this.askedAt.keys()) {
-      if (this.askedAt.size <= MAX_NONCES) {
+    for (const nonce of this.sentAtByNonce.keys()) {
+      if (this.sentAtByNonce.size <= MAX_NONCES) {
         return;
       }
-      this.askedAt.delete(nonce);
+      this.sentAtByNonce.delete(nonce);
     }
   }
 }
--- a/src/operator/add_bundle_commands.ts
+++ b/src/operator/add_bundle_commands.ts
@@ -2,7 +2,7 @@
 import {writeFileSync} from 'node:fs';
 import {Bundle} from '../protocol/bundle';
 import {computeDigest} from '../protocol/compute_digest';
-import {encodeCanonical} from '../protocol/encode_canonical';
+import {encodeCanonicalJson} from '../protocol/encode_canonical_json';
 import {signBundle} from '../protocol/sign_bundle';
 import {compareBundles} from './compare_bundles';
 import {OperatorClient} from './operator_client';
@@ -11,7 +11,7 @@
 import {ProgramContext} from './program_context';
 import {readBundleFile} from './read_bundle_file';
 import {readPrivateKey} from './read_private_key';
-import {readSignedFile} from './read_signed_file';
+import {readSignedBundle} from './read_signed_bundle';
 
 const POLL_MS = 200;
 
@@ -30,7 +30,7 @@
     .addHelpText('after', '\nExample:\n  whinreel bundle check bundle.yaml')
     .action((file: string) => {
       const checked = readBundleFile(file);
-      const digest = computeDigest(encodeCanonical(checked));
+      const digest = computeDigest(encodeCanonicalJson(checked));
       createReporter().report({
         type: 'bundle-checked',
         bundle: checked,
@@ -59,7 +59,7 @@
     .command('show <file>')
     .description('show a signed bundle')
     .action((file: string) => {
-      const {document} = readSignedFile(file);
+      const {document} = readSignedBundle(file);
       const shown = Bundle.parse(JSON.parse(document));
       createReporter().report({
         type: 'bundle-checked',
@@ -110,7 +110,7 @@
 ): void {
   const checked = readBundleFile(file);
   const previous = options.after
-    ? computeDigest(readSignedFile(options.after).document)
+    ? computeDigest(readSignedBundle(options.after).document)
     : checked.previous;
   const signed = signBundle(
     {...checked, previous},
@@ -133,7 +133,7 @@
   reporter: OperatorReporter,
 ): Promise<void> {
   const {isAccepted, reason, version, digest, keyId} = await client.rollOut(
-    readSignedFile(file),
+    readSignedBundle(file),
   );
   reporter.report({
     type: 'rolled-out',
--- a/src/protocol/control_message.ts
+++ b/src/protocol/control_message.ts
@@ -7,12 +7,12 @@
 import {GatewayTarget} from './gateway_target';
 import {Group} from './group';
 import {HostReport} from './host_report';
-import {LimitWord} from './limit_word';
+import {RateLimitReport} from './rate_limit_report';
 import {ModelDemand} from './model_demand';
-import {Outcome} from './outcome';
+import {RequestOutcome} from './request_outcome';
 import {PermitVerdict} from './permit_verdict';
 import {SignedBundle} from './signed_bundle';
-import {SuspectNews} from './suspect_news';
+import {SuspectUpdate} from './suspect_update';
 import {TrialVerdict} from './trial_verdict';
 
 const Call = z.int().nonnegative();
@@ -76,7 +76,7 @@
     workspace: z.string(),
     key: z.string(),
     attemptId: z.string(),
-    outcome: Outcome,
+    outcome: RequestOutcome,
   }),
   z.object({type: z.literal('claim-resolved'), call: Call}),
   z.object({type: z.literal('roll-out-ask'), call: Call, bundle: SignedBundle}),
@@ -183,7 +183,7 @@
     /** Names the leader's table of limits that the gateway holds; absent at one that knows of none. */
     limitsTag: z.string().optional(),
     /** Limits that this leader was not told from here. */
-    limits: z.array(LimitWord).optional(),
+    limits: z.array(RateLimitReport).optional(),
   }),
   z.object({
     type: z.literal('gateway-answer'),
@@ -211,10 +211,10 @@
     /** Addresses of the control processes that vote. */
     control: z.array(z.string()),
     /** Present when the asker holds another list. */
-    suspects: SuspectNews.optional(),
+    suspects: SuspectUpdate.optional(),
     limitsTag: z.string().optional(),
     /** What changed in the table of limits; present when the asker holds another. */
-    limits: z.array(LimitWord).optional(),
+    limits: z.array(RateLimitReport).optional(),
   }),
   z.object({
     type: z.literal('leaving-ask'),
@@ -229,7 +229,7 @@
     call: Call,
     gatewayId: z.string().max(128),
     /** The limit as the gateway knows it. */
-    limit: LimitWord,
+    limit: RateLimitReport,
   }),
   z.object({
     type: z.literal('permit-answer'),
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -16,7 +16,7 @@
 export class Peer {
   /** Frames may arrive together with the hello, before the owner could listen. */
   private readonly received = PushSource.create<Message>({
-    keepsUntilObserved: true,
+    buffersUntilObserved: true,
   });
   /** Messages after the hello. */
   readonly messages: Stream<Message> = this.received.stream;
@@ -85,8 +85,8 @@
   }
 
   /** Closes after what was sent has left. */
-  finish(): void {
-    this.connection.finish();
+  end(): void {
+    this.connection.end();
   }
 
   private receive(frame: Buffer, greet: () => void): void {
--- a/src/state/cluster_state.ts
+++ b/src/state/cluster_state.ts
@@ -185,12 +185,12 @@
       return result;
     },
     'end-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engines.end(name, epoch);
+      const result = this.engines.markEnding(name, epoch);
       const about = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-ending', about, result);
     },
     'release-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engines.release(name, epoch);
+      const result = this.engines.markReleased(name, epoch);
       const about = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-released', about, result);
     },
@@ -217,13 +217,13 @@
       return {isAccepted: trial === 'granted', reason: trial, trial};
     },
     'withdraw-crash': ({incarnation}, index) => {
-      this.suspects.withdraw(incarnation);
+      this.suspects.withdrawCrash(incarnation);
       this.recordVerdicts(index);
       return {isAccepted: true, reason: 'it lives'};
     },
     'lift-verdict': ({name, keyId}, index) => {
       const reason = `ordered by the operator with key ${keyId}`;
-      const isAccepted = this.suspects.revoke(name, reason);
+      const isAccepted = this.suspects.revokeVerdict(name, reason);
       this.recordVerdicts(index);
       return {isAccepted, reason: isAccepted ? reason : 'no such verdict'};
     },
@@ -257,14 +257,14 @@
         this.suspects.recordCrash(crash, this.committedTime);
       }
     }
-    command.released.forEach(name => this.suspects.release(name));
-    command.cleared.forEach(name => this.suspects.clear(name));
+    command.released.forEach(name => this.suspects.endTrial(name));
+    command.cleared.forEach(name => this.suspects.clearSuspect(name));
     this.recordVerdicts(index);
     return {isAccepted: true, reason: 'recorded'};
   }
 
   private recordVerdicts(index: number): void {
-    for (const {name: id, type, reason} of this.suspects.takeNotes()) {
+    for (const {name: id, type, reason} of this.suspects.takeVerdictChanges()) {
       this.record(index, {type, subject: 'request', id, reason});
     }
   }
--- a/test/control/seeded_quorum.test.ts
+++ b/test/control/seeded_quorum.test.ts
@@ -86,7 +86,7 @@
 function createClient(addresses: readonly string[]): ControlClient {
   const client = ControlClient.create({
     addresses,
-    tryTimeoutMs: 500,
+    hedgeDelayMs: 500,
     identity: {program: 'operator', id: 'test', incarnation: 'i'},
   });
   closers.push(() => client.close());
--- a/test/coordination/plan_engine_hosts.test.ts
+++ b/test/coordination/plan_engine_hosts.test.ts
@@ -15,7 +15,7 @@
   ]);
 
   test('load a model into memory before any group waits for it', () => {
-    const actions = plan({backends: hosts('d', 4), usual});
+    const actions = plan({backends: hosts('d', 4), desiredGroups: usual});
     expect(describeActions(actions)).toEqual([
       'join d0',
       'join d1',
@@ -30,7 +30,7 @@
 
   test('take the model on their own disk without a load from the store', () => {
     const backends = [host('a', {stagedModels: ['low']})];
-    const [action] = plan({backends, usual});
+    const [action] = plan({backends, desiredGroups: usual});
     expect(action).toMatchObject({kind: 'join', model: 'low', isLoad: false});
   });
 
@@ -40,7 +40,12 @@
     const low = group(['x', 'y']);
     const other = group(['v', 'w'], {name: 'low-2'});
     const groups = [low, other];
-    const [action] = plan({backends, usual, groups, isStillListening: true});
+    const [action] = plan({
+      backends,
+      desiredGroups: usual,
+      groups,
+      isInGracePeriod: true,
+    });
 
     expect(action).toMatchObject({
       type: 'set-group',
@@ -56,7 +61,12 @@
     const other = group(['v', 'w'], {name: 'low-2'});
     const big = group(['p', 'q', 'r', 's'], {name: 'big-1', model: 'big'});
     const groups = [low, other, big];
-    const actions = plan({backends, usual, groups, isStillListening: true});
+    const actions = plan({
+      backends,
+      desiredGroups: usual,
+      groups,
+      isInGracePeriod: true,
+    });
 
     expect(describeActions(actions)).toEqual([]);
   });
@@ -82,9 +92,9 @@
       plan({
         backends: hosts('d', count, held),
         groups,
-        usual,
-        isPressed,
-        isStillListening: true,
+        desiredGroups: usual,
+        isSaturated: isPressed,
+        isInGracePeriod: true,
       }).filter(action => action.type === 'set-group').length;
 
     expect(formed(3)).toBe(1);
@@ -123,7 +133,7 @@
 
   test('gets the hosts of another model if they and spares are enough', () => {
     const isPressed = (model: string) => model === 'big';
-    const actions = plan({...input, isPressed});
+    const actions = plan({...input, isSaturated: isPressed});
     expect(describeActions(actions)).toContain('end-group low-2');
   });
 
@@ -144,7 +154,7 @@
     const actions = plan({
       groups: [group(['a', 'b'])],
       backends: [...members, host('s', held)],
-      usual,
+      desiredGroups: usual,
     });
 
     expect(describeActions(actions)).toEqual(['stage s', 'stage a', 'stage b']);
@@ -153,7 +163,7 @@
 
   test('do not evict the existing copy', () => {
     const backends = [host('a', {model: 'low', stagedModels: ['big']})];
-    expect(plan({backends, usual: new Map()})).toEqual([]);
+    expect(plan({backends, desiredGroups: new Map()})).toEqual([]);
   });
 
   test('let a member of the small model repair the large one at once', () => {
@@ -163,7 +173,7 @@
     const spare = host('s', {model: 'low', stagedModels: ['big']});
     const [action] = plan({
       backends: [...survivors, spare],
-      usual: new Map([['big', 1]]),
+      desiredGroups: new Map([['big', 1]]),
     });
 
     expect(action).toMatchObject({type: 'set-group', group: {model: 'big'}});
@@ -179,7 +189,11 @@
       host('c', {...held, domain: 'e'}),
     ];
     const groups = [group(['a', 'b'], {domain: 'd+e'})];
-    const actions = plan({groups, backends, usual: new Map([['low', 1]])});
+    const actions = plan({
+      groups,
+      backends,
+      desiredGroups: new Map([['low', 1]]),
+    });
 
     expect(describeActions(actions)).toContain('end-group low-1');
   });
@@ -194,7 +208,12 @@
     const groups = [group(['a', 'b'], {domain: 'd+e'})];
     const usual = new Map([['low', 1]]);
     const isPressed = () => true;
-    const actions = plan({groups, backends, usual, isPressed});
+    const actions = plan({
+      groups,
+      backends,
+      desiredGroups: usual,
+      isSaturated: isPressed,
+    });
 
     expect(describeActions(actions)).not.toContain('end-group low-1');
   });
@@ -208,7 +227,11 @@
       host('s', {...held, domain: 'g'}),
     ];
     const groups = [group(['a', 'b'], {domain: 'd+e', isEnding: true})];
-    const actions = plan({groups, backends, usual: new Map([['low', 3]])});
+    const actions = plan({
+      groups,
+      backends,
+      desiredGroups: new Map([['low', 3]]),
+    });
 
     expect(describeActions(actions)).toEqual(['close a']);
   });
--- a/test/entry/request_runner.test.ts
+++ b/test/entry/request_runner.test.ts
@@ -4,13 +4,13 @@
 import {systemClock} from '../../src/common/system_clock';
 import {CallerRequest} from '../../src/entry/caller_request';
 import {CallerResponse} from '../../src/entry/caller_response';
-import {HostLinks} from '../../src/entry/host_links';
-import {OnceOnly} from '../../src/entry/once_only';
+import {HostConnections} from '../../src/entry/host_connections';
+import {IdempotencyClaims} from '../../src/entry/idempotency_claims';
 import {RequestRunner} from '../../src/entry/request_runner';
-import {RouteTable} from '../../src/entry/route_table';
+import {RoutingTable} from '../../src/entry/routing_table';
 import {ControlClient} from '../../src/protocol/control_client';
 import {Group} from '../../src/protocol/group';
-import {WorkMessage} from '../../src/protocol/work_message';
+import {RequestMessage} from '../../src/protocol/request_message';
 import {call} from '../support/caller';
 import {FakeHost} from '../support/fake_host';
 import {waitUntil} from '../support/wait_until';
@@ -36,17 +36,17 @@
   hosts: readonly FakeHost[],
   changes: Partial<CallerRequest> = {},
 ) {
-  const links = HostLinks.create({identity, clock: systemClock});
+  const links = HostConnections.create({identity, clock: systemClock});
   const groups = hosts.map((host, at) => createGroup(`g${at}`, host.address));
-  links.setWanted(hosts.map(host => host.address));
+  links.setAddresses(hosts.map(host => host.address));
   await waitUntil('links', () => hosts.every(host => links.find(host.address)));
   const runner = RequestRunner.create({
     clock: systemClock,
-    table: {groups} as unknown as RouteTable,
-    links,
-    onceOnly: OnceOnly.create({
+    table: {groups} as unknown as RoutingTable,
+    connections: links,
+    claims: IdempotencyClaims.create({
       client: ControlClient.create({addresses: [], identity}),
-      links,
+      connections: links,
     }),
     // Always the replica that comes first among those not tried.
     random: () => 0,
@@ -86,7 +86,7 @@
   return host;
 }
 
-function data(stream: number, sequence: number, text: string): WorkMessage {
+function data(stream: number, sequence: number, text: string): RequestMessage {
   return {
     type: 'data',
     stream,
@@ -95,7 +95,7 @@
   };
 }
 
-function end(stream: number, frames: number): WorkMessage {
+function end(stream: number, frames: number): RequestMessage {
   return {type: 'end', stream, frames, outcome: 'answered', reason: ''};
 }
 
@@ -158,7 +158,7 @@
       const {stream} = dispatch;
       send({type: 'head', stream, status: 200, headers: EVENTS});
       send(data(stream, 0, 'a'));
-      peer.finish();
+      peer.end();
     });
     const second = await createHost((dispatch, send) => {
       const {stream} = dispatch;
--- a/test/platform/backend_starts.test.ts
+++ b/test/platform/backend_restarts.test.ts
@@ -4,14 +4,14 @@
 import {tmpdir} from 'node:os';
 import * as path from 'node:path';
 import {afterEach, describe, expect, test} from 'vitest';
-import {callerHeaders} from '../../platform/caller_headers';
+import {platformHttpDialect} from '../../platform/platform_http_dialect';
 import {decodeRegistration} from '../../platform/decode_registration';
 import {engineClient} from '../../platform/engine_client';
 import {engineIdentity} from '../../platform/engine_identity';
 import {OperatorApi} from '../../platform/operator_api';
 import {EventRing} from '../../src/common/event_ring';
 import {systemClock} from '../../src/common/system_clock';
-import {ThrottledLines} from '../../src/common/throttled_lines';
+import {ThrottledEventLog} from '../../src/common/throttled_event_log';
 import {ControlServer} from '../../src/control/control_server';
 import {ControlClient} from '../../src/protocol/control_client';
 import {reservePort} from '../support/reserve_port';
@@ -51,7 +51,7 @@
     ['i@1', 5],
   ])('of %s born %s leads back to the id', (id, born) => {
     const incarnation = engineIdentity.format(id, born);
-    expect(engineIdentity.findId(incarnation)).toBe(id);
+    expect(engineIdentity.getId(incarnation)).toBe(id);
   });
 
   test('is another one for each time of a start', () => {
@@ -72,7 +72,7 @@
       forwardedHeaders: [],
     };
     const incarnation = engineIdentity.format('i-1', 1_000);
-    expect(callerHeaders.createHeaders(request, {incarnation})).toEqual([
+    expect(platformHttpDialect.createHeaders(request, {incarnation})).toEqual([
       'x-whinreel-expect-instance',
       'i-1',
     ]);
@@ -162,7 +162,7 @@
     const events = EventRing.create();
     const api = OperatorApi.create(
       client,
-      ThrottledLines.create(events, systemClock),
+      ThrottledEventLog.create(events, systemClock),
     );
     const address = await listen((request, response) =>
       api.handle(request, response),
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -16,7 +16,7 @@
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {PermitVerdict} from '../../src/protocol/permit_verdict';
-import {HttpOrigins} from '../../src/transport/http_origins';
+import {HttpClientPool} from '../../src/transport/http_client_pool';
 import {BackendStandIn} from './backend_stand_in';
 import {plainDialect} from './plain_dialect';
 
@@ -65,7 +65,7 @@
     random: () => 0,
     reportLeaving: () => Promise.resolve(),
     askPermit: () => this.answerPermit(),
-    onNews: () => undefined,
+    reportNow: () => undefined,
   });
   readonly board = LoadBalancer.create(
     'z',
@@ -82,7 +82,7 @@
     },
     onEnded: () => undefined,
   });
-  private readonly origins = HttpOrigins.create();
+  private readonly origins = HttpClientPool.create();
   private readonly flows = new Set<ProxiedRequest>();
   private readonly timer: NodeJS.Timeout;
 
@@ -194,7 +194,7 @@
         maxConnections: 4,
         arrivedAt,
         response: ResponseWriter.create(response, 'request-id', () => false),
-        origins: this.origins,
+        clientPool: this.origins,
         balancer: this.board,
         budget: RetryBudget.create(
           {ratio: 1, windowMs: 10_000, slack: 100},
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -7,7 +7,7 @@
 import {EventRing} from '../../src/common/event_ring';
 import {RateLimitService} from '../../src/control/rate_limit_service';
 import {BackendRateLimits} from '../../src/gateway/backend_rate_limits';
-import {LimitWord} from '../../src/protocol/limit_word';
+import {RateLimitReport} from '../../src/protocol/rate_limit_report';
 import {VirtualTime} from '../simulation/virtual_time';
 
 export const BACKEND = 'b1@1';
@@ -58,7 +58,7 @@
       leaseClock: crowd.time,
       events: EventRing.create(),
       askPermit: limit => crowd.askPermit(this, limit),
-      onNews: () => crowd.exchange(this),
+      reportNow: () => crowd.exchange(this),
     });
     return this.limits;
   }
@@ -158,7 +158,7 @@
 
   askPermit(
     gateway: CrowdGateway,
-    limit: LimitWord,
+    limit: RateLimitReport,
   ): ReturnType<Parameters<typeof BackendRateLimits.create>[0]['askPermit']> {
     this.asks += 1;
     const {limits} = gateway;
@@ -184,7 +184,7 @@
   /** One question about news, and its answer. */
   exchange(gateway: CrowdGateway): void {
     const {limits} = gateway;
-    const {limitsTag, limits: words} = limits.describeNews();
+    const {limitsTag, limits: words} = limits.describeChanges();
     this.time.after(this.drawDelay(), () => {
       const {desk} = this;
       if (!desk || gateway.isCutOff) {
@@ -195,7 +195,7 @@
       const news = tag === limitsTag ? [] : desk.listChangesSince(limitsTag);
       this.actAt(gateway, this.drawDelay(), () => {
         if (gateway.limits === limits) {
-          limits.applyNews(words, tag, news);
+          limits.applyChanges(words, tag, news);
         }
       });
     });
