--- a/src/control/engine_group_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -136,21 +136,22 @@
       profile: pool.engine,
       groups,
       backends,
-      isFirstStart: groups.length === 0 && backends.every(hasNoWeights),
+      isColdStart: groups.length === 0 && backends.every(hasNoWeights),
       now,
       silentAfterMs: poolSettings.heartbeatMs * SILENT_INTERVALS,
-      isStillListening:
+      isInGracePeriod:
         now - runtime.leadingSince <
         poolSettings.heartbeatMs * SILENT_INTERVALS,
       isRetired: (incarnation: string) => engines.isRetired(incarnation),
       mayRebalance: now - this.rebalancedAt > REBALANCE_INTERVAL_MS,
       epoch: runtime.raft.commitIndex,
-      findLoading: (incarnation: string) =>
+      findLoadingModel: (incarnation: string) =>
         this.orders.findLoadingModel(incarnation),
-      isPressed: (model: string) => gateways.isSaturated(model),
+      isSaturated: (model: string) => gateways.isSaturated(model),
       isLost: (incarnation: string) => this.health.isLost(incarnation),
-      isLetGo: (group: EngineGroup) => this.headStops.isHeadStopped(group, now),
-      hasLeaver: (group: EngineGroup) =>
+      isHeadStopped: (group: EngineGroup) =>
+        this.headStops.isHeadStopped(group, now),
+      hasDepartedMember: (group: EngineGroup) =>
         this.headStops.hasDepartedMember(group),
     };
     const actions = planEngineGroups(this.applyDemand(input, domains));
@@ -167,7 +168,7 @@
 
   /** Completes the input of a plan with model shares adjusted to the demand. */
   private applyDemand(
-    configured: Omit<EnginePlanInput, 'usual'>,
+    configured: Omit<EnginePlanInput, 'desiredGroups'>,
     domains: readonly number[],
   ): EnginePlanInput {
     const {gateways, events} = this.options;
@@ -196,7 +197,7 @@
               Math.round(requestsPerSecond),
             ]),
           ),
-          ...Object.fromEntries(input.usual),
+          ...Object.fromEntries(input.desiredGroups),
         },
       });
     }
--- a/src/coordination/groups/create_engine_plan_input.ts
+++ b/src/coordination/groups/create_engine_plan_input.ts
@@ -10,7 +10,7 @@
 interface DemandOptions {
   readonly adjuster: ShareAdjuster;
   /** With the configured shares. */
-  readonly input: Omit<EnginePlanInput, 'usual'>;
+  readonly input: Omit<EnginePlanInput, 'desiredGroups'>;
   /** Number of healthy engines in each fabric domain. */
   readonly domains: readonly number[];
   readonly demand: Readonly<Record<string, ModelDemand>>;
@@ -32,7 +32,7 @@
   const applyShares = (profile: EngineProfile): EnginePlanInput => ({
     ...input,
     profile,
-    usual: computeDesiredGroups(profile, domains),
+    desiredGroups: computeDesiredGroups(profile, domains),
   });
   const counts = ModelCounts.createWithHeld(input);
   const {profile, shifted, recipientModel} = adjuster.update({
--- a/src/coordination/groups/engine_plan_input.ts
+++ b/src/coordination/groups/engine_plan_input.ts
@@ -12,32 +12,32 @@
   /** Backend servers of the pool that have registered. */
   readonly backends: readonly BackendView[];
   /** Desired number of groups per model by its share of the load, spares excluded. */
-  readonly usual: ReadonlyMap<string, number>;
+  readonly desiredGroups: ReadonlyMap<string, number>;
   /** Cold start: no host has weights and nothing is served yet, so groups may wait for loads. */
-  readonly isFirstStart: boolean;
+  readonly isColdStart: boolean;
   readonly now: number;
   /** Time without a heartbeat after which a backend server joins no new group. */
   readonly silentAfterMs: number;
   /** A new leader is in its grace period: members that it has not heard yet do not count as lost. */
-  readonly isStillListening: boolean;
+  readonly isInGracePeriod: boolean;
   /** False for a while after hosts were reassigned, so that they do not oscillate. */
   readonly mayRebalance: boolean;
   /** The newest log index, which is at least as high as any epoch that an engine has seen. */
   readonly epoch: number;
   /** Returns the model that an engine was ordered to load and has not loaded yet. */
-  readonly findLoading: (incarnation: string) => string | undefined;
+  readonly findLoadingModel: (incarnation: string) => string | undefined;
   /** Model whose share was just raised; groups of other models are ended for it. */
   readonly recipientModel?: string;
   /** The model is overloaded: its requests are refused for lack of free slots. */
-  readonly isPressed: (model: string) => boolean;
+  readonly isSaturated: (model: string) => boolean;
   /** The backend server is draining or has announced that it stops. */
   readonly isRetired: (incarnation: string) => boolean;
   /** The backend server does not answer, so its group has stalled or soon will. */
   readonly isLost: (incarnation: string) => boolean;
   /** The unreachable or dead head is known to use none of its members any more. */
-  readonly isLetGo: (group: EngineGroup) => boolean;
+  readonly isHeadStopped: (group: EngineGroup) => boolean;
   /** A member has left that the head may still rely on. */
-  readonly hasLeaver: (group: EngineGroup) => boolean;
+  readonly hasDepartedMember: (group: EngineGroup) => boolean;
   /** Mechanisms to disable; none by default. */
   readonly policy?: EnginePolicy;
 }
--- a/src/coordination/groups/plan_consolidation.ts
+++ b/src/coordination/groups/plan_consolidation.ts
@@ -40,12 +40,12 @@
 /** Checks whether an overloaded model has no other group: it would not be served while this one slowly drains. */
 function isNeeded(
   {name, model}: EngineGroup,
-  {groups, isPressed}: EnginePlanInput,
+  {groups, isSaturated}: EnginePlanInput,
 ): boolean {
   const hasOther = groups.some(
     other => other.model === model && other.name !== name && !other.isEnding,
   );
-  return !hasOther && isPressed(model);
+  return !hasOther && isSaturated(model);
 }
 
 function listDomains(
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -113,17 +113,17 @@
   }
   return input.profile.models.flatMap(model => {
     const lacksGroups =
-      input.isPressed(model.name) || isBelowDesired(model, input, counts);
+      input.isSaturated(model.name) || isBelowDesired(model, input, counts);
     return (lacksGroups && reserveEngines(model, free, input)) || [];
   });
 }
 
 function isBelowDesired(
   {name}: Model,
-  {usual}: EnginePlanInput,
+  {desiredGroups}: EnginePlanInput,
   counts: ModelCounts,
 ): boolean {
-  return counts.countGroups(name) < (usual.get(name) ?? 0);
+  return counts.countGroups(name) < (desiredGroups.get(name) ?? 0);
 }
 
 /** Lists the free hosts that are not reserved for a model with greater need. */
@@ -200,8 +200,8 @@
   const needsLoad = readyMs >= model.loadMs;
   const spares = countSpares(model, domain, input, isBelow, needsLoad);
   // After the cold start, weights are loaded before a group is formed with them.
-  const {isFirstStart} = input;
-  if (hosts.length - spares < model.size || (needsLoad && !isFirstStart)) {
+  const {isColdStart} = input;
+  if (hosts.length - spares < model.size || (needsLoad && !isColdStart)) {
     return undefined;
   }
   return {
@@ -214,7 +214,7 @@
     needsLoad,
     hostsPerShare: counts.computeHostsPerShare(model),
     // Best fit at the cold start, so that large domains stay usable; later the domain that keeps most spares.
-    domainOrder: isFirstStart ? hosts.length : -hosts.length,
+    domainOrder: isColdStart ? hosts.length : -hosts.length,
   };
 }
 
@@ -228,7 +228,7 @@
   free: readonly BackendView[],
   counts: ModelCounts,
 ): FormationOption[] {
-  const desiredGroups = input.usual.get(model.name) ?? 0;
+  const desiredGroups = input.desiredGroups.get(model.name) ?? 0;
   const isFewGroups =
     counts.countGroups(model.name) <
     desiredGroups * CROSS_DOMAIN_BELOW_FRACTION;
@@ -284,7 +284,7 @@
   if (!needsLoad && isBelow) {
     return 0;
   }
-  if (!needsLoad && input.isPressed(model.name)) {
+  if (!needsLoad && input.isSaturated(model.name)) {
     return 1;
   }
   const hosts = input.backends.filter(
--- a/src/coordination/groups/plan_engine_groups.ts
+++ b/src/coordination/groups/plan_engine_groups.ts
@@ -89,7 +89,7 @@
   input: EnginePlanInput,
 ): Member | undefined {
   return group.members.find(({incarnation}) => {
-    const isUnknown = !views.has(incarnation) && !input.isStillListening;
+    const isUnknown = !views.has(incarnation) && !input.isInGracePeriod;
     return isUnknown || input.isLost(incarnation);
   });
 }
@@ -113,7 +113,7 @@
   const view = views.get(head);
   const removal = {type: 'remove-group' as const, name, epoch};
   if (!view || input.isLost(head)) {
-    if (input.isLetGo(group)) {
+    if (input.isHeadStopped(group)) {
       const reason = `its head ${head} counts on nobody any more`;
       return [{...removal, reason}];
     }
@@ -145,7 +145,7 @@
   const {name, epoch} = group;
   const reason = `a member has left, the head of ${name} will break`;
   const release =
-    !group.isReleased && input.hasLeaver(group)
+    !group.isReleased && input.hasDepartedMember(group)
       ? [{type: 'release-group' as const, name, epoch, reason}]
       : [];
   const orders = group.members
--- a/src/coordination/groups/plan_preloads.ts
+++ b/src/coordination/groups/plan_preloads.ts
@@ -58,7 +58,8 @@
 ): ModelCounts {
   const counts = ModelCounts.create(input);
   for (const {registration, loadedModel} of free) {
-    const model = loadedModel ?? input.findLoading(registration.incarnation);
+    const model =
+      loadedModel ?? input.findLoadingModel(registration.incarnation);
     if (model !== undefined) {
       counts.addSpare(model);
     }
@@ -85,7 +86,7 @@
     ({registration, loadedModel}) =>
       loadedModel === undefined &&
       registration.group === undefined &&
-      input.findLoading(registration.incarnation) === undefined,
+      input.findLoadingModel(registration.incarnation) === undefined,
   );
   return empty.flatMap(host => {
     const {stagedModels} = host.registration;
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -47,7 +47,7 @@
   const recipients = input.profile.models
     .filter(
       ({name}) =>
-        input.isPressed(name) || isRecipientBelowDesired(name, counts, input),
+        input.isSaturated(name) || isRecipientBelowDesired(name, counts, input),
     )
     .sort(
       (left, right) =>
@@ -72,11 +72,11 @@
 function isRecipientBelowDesired(
   model: string,
   counts: ModelCounts,
-  {usual, recipientModel}: EnginePlanInput,
+  {desiredGroups, recipientModel}: EnginePlanInput,
 ): boolean {
   return (
     model === recipientModel &&
-    counts.countGroups(model) < (usual.get(model) ?? 0)
+    counts.countGroups(model) < (desiredGroups.get(model) ?? 0)
   );
 }
 
@@ -172,7 +172,7 @@
   }
   const donated = donors.filter(other => other.model === model.name).length + 1;
   const left = counts.countGroups(model.name) - donated;
-  const isAboveDesired = left >= (input.usual.get(model.name) ?? 0);
+  const isAboveDesired = left >= (input.desiredGroups.get(model.name) ?? 0);
   if (
     left > 0 &&
     isAboveDesired &&
@@ -181,7 +181,7 @@
     return true;
   }
   return (
-    input.isPressed(recipient.name) &&
+    input.isSaturated(recipient.name) &&
     hasLessNeedAfterwards(model, left, recipient, counts)
   );
 }
--- a/src/coordination/groups/reserve_engines.ts
+++ b/src/coordination/groups/reserve_engines.ts
@@ -69,7 +69,7 @@
   /** Sort key: hosts that have the model come first, then hosts that are loading it, then empty ones. */
   function computeOrder(host: BackendView): number {
     const isLoading =
-      input.findLoading(host.registration.incarnation) === model.name;
+      input.findLoadingModel(host.registration.incarnation) === model.name;
     return isLoading ? model.warmMs * 2 : computeReadyMs(host, model);
   }
 }
--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -151,7 +151,7 @@
    * Describes what the control plane should know: the version of the table held
    * here, and the limits that its leader was not told.
    */
-  describeNews(): {limitsTag: string; limits: LimitWord[]} {
+  describeChanges(): {limitsTag: string; limits: LimitWord[]} {
     const held = this.limits.list();
     const unreported = this.limits
       .describe(held, this.options.clock.now())
@@ -171,7 +171,7 @@
    *
    * @param sent the limits that were sent to it
    */
-  applyNews(
+  applyChanges(
     sent: readonly LimitWord[],
     tag: string,
     received: readonly LimitWord[],
--- a/src/gateway/control_poller.ts
+++ b/src/gateway/control_poller.ts
@@ -51,7 +51,7 @@
   readonly readSuspectsVersion: () => number;
   readonly onSuspects: (news: SuspectNews) => void;
   /** Rate limits of backend servers, which gateways exchange through control. */
-  readonly limits: Pick<BackendRateLimits, 'describeNews' | 'applyNews'>;
+  readonly limits: Pick<BackendRateLimits, 'describeChanges' | 'applyChanges'>;
   readonly onTargets: (targets: ReadonlyMap<string, GatewayTarget>) => void;
   /** Called with the addresses of the control processes from each answer. */
   readonly onControl: (addresses: readonly string[]) => void;
@@ -143,7 +143,7 @@
     const {client, clock, gatewayId, collectReport} = this.options;
     const askedAt = clock.now();
     const report = collectReport();
-    const limitsReport = this.options.limits.describeNews();
+    const limitsReport = this.options.limits.describeChanges();
     const {tableTag} = this;
     const answer = await client.ask<'gateway-ask'>(
       {
@@ -167,7 +167,7 @@
     this.apply(answer, askedAt, tableTag);
     if (answer.limitsTag !== undefined) {
       const {limitsTag, limits = []} = answer;
-      this.options.limits.applyNews(limitsReport.limits, limitsTag, limits);
+      this.options.limits.applyChanges(limitsReport.limits, limitsTag, limits);
     }
   }
 
--- a/src/gateway/create_forecast_keys.ts
+++ b/src/gateway/create_forecast_keys.ts
@@ -11,19 +11,19 @@
   /** Requests of one route at one pool take similar times. */
   readonly work: string;
   /** The queue for slots: one per pool and model; none for services without engines. */
-  readonly line: string | undefined;
+  readonly queue: string | undefined;
 }
 
 /**
  * Creates the keys of a request: its kind of work and the queue in which it waits.
  *
  * @example
- * const {work, line} = createForecastKeys({route, pool, model: request.model});
+ * const {work, queue} = createForecastKeys({route, pool, model: request.model});
  */
 export function createForecastKeys(input: ForecastKeysInput): ForecastKeys {
   const {route, pool, model = ''} = input;
   return {
     work: `${route.name} ${pool.name}`,
-    line: pool.engine && `${pool.name} ${model}`,
+    queue: pool.engine && `${pool.name} ${model}`,
   };
 }
--- a/src/gateway/send_error_response.ts
+++ b/src/gateway/send_error_response.ts
@@ -10,7 +10,7 @@
   /** Sent only if no head was sent yet; 503 only for a request that was not executed. */
   readonly status: number;
   /** Estimates when the caller may retry a request that was not executed. */
-  readonly wait: Pick<SlotWait, 'computeReturnMs'>;
+  readonly wait: Pick<SlotWait, 'computeRetryAfterMs'>;
 }
 
 /**
@@ -31,7 +31,7 @@
   }
   const isNotRun = status === ERROR_STATUS.notRun;
   const isContained = status === ERROR_STATUS.cannotBeRun;
-  const retryAfterMs = isNotRun ? wait.computeReturnMs() : undefined;
+  const retryAfterMs = isNotRun ? wait.computeRetryAfterMs() : undefined;
   response.sendError({status, reason, retryAfterMs}, requestId);
   const outcome = isNotRun ? 'refused' : isContained ? 'contained' : 'failed';
   return {outcome, status};
--- a/src/gateway/slot_wait.ts
+++ b/src/gateway/slot_wait.ts
@@ -14,7 +14,7 @@
   readonly forecast: SlotForecast;
   readonly clock: Clock;
   /** Key of the queue for a slot; undefined for services without slots. */
-  readonly line: string | undefined;
+  readonly queue: string | undefined;
   /** Key under which the forecast keeps the request's time to the first event. */
   readonly work: string;
   readonly objectiveMs: number;
@@ -53,11 +53,11 @@
    * Creates a wait that has not started.
    *
    * @example
-   * const wait = SlotWait.create({forecast, clock, line, work, objectiveMs, arrivedAt, deadlineAt, maxRetryAfterFraction, maxPauseMs, reserveRetry, findRepairMs});
+   * const wait = SlotWait.create({forecast, clock, queue, work, objectiveMs, arrivedAt, deadlineAt, maxRetryAfterFraction, maxPauseMs, reserveRetry, findRepairMs});
    */
   static create(options: SlotWaitOptions): SlotWait {
-    if (options.line !== undefined) {
-      options.forecast.recordArrival(options.line);
+    if (options.queue !== undefined) {
+      options.forecast.recordArrival(options.queue);
     }
     return new SlotWait(options);
   }
@@ -68,8 +68,8 @@
 
   /** True if no request is ahead in the queue. */
   get isFirstInQueue(): boolean {
-    const {forecast, line} = this.options;
-    return line === undefined || forecast.countAhead(line, this) === 0;
+    const {forecast, queue} = this.options;
+    return queue === undefined || forecast.countAhead(queue, this) === 0;
   }
 
   /**
@@ -81,11 +81,11 @@
    * queue waits for the next slot.
    */
   get canStartInTime(): boolean {
-    const {forecast, clock, line, work, objectiveMs} = this.options;
-    if (line === undefined) {
+    const {forecast, clock, queue, work, objectiveMs} = this.options;
+    if (queue === undefined) {
       return false;
     }
-    const startsAt = clock.now() + forecast.estimateWaitMs(line, this);
+    const startsAt = clock.now() + forecast.estimateWaitMs(queue, this);
     const isLateAnyway = forecast.findAverageFirstEventMs(work) > objectiveMs;
     const latestAt =
       isLateAnyway && this.isFirstInQueue
@@ -96,9 +96,9 @@
 
   /** Starts to wait in the queue for a slot. */
   joinQueue(): void {
-    const {forecast, line} = this.options;
-    if (line !== undefined) {
-      forecast.joinQueue(line, this);
+    const {forecast, queue} = this.options;
+    if (queue !== undefined) {
+      forecast.joinQueue(queue, this);
       this.isForSlot = true;
       this.until = this.objectiveAt;
     }
@@ -134,15 +134,15 @@
    * Returns the delay after which the caller of a refused request should retry,
    * in milliseconds.
    */
-  computeReturnMs(): number {
-    const {forecast, line, clock, deadlineAt, maxRetryAfterFraction} =
+  computeRetryAfterMs(): number {
+    const {forecast, queue, clock, deadlineAt, maxRetryAfterFraction} =
       this.options;
     const leftMs = deadlineAt - clock.now();
     const {inMs: availableInMs, isOnlyOption} = this.options.reserveRetry();
     return computeRetryAfterMs({
       forecast,
       // Slots at engines that accept nothing now are no use.
-      queue: isOnlyOption ? undefined : line,
+      queue: isOnlyOption ? undefined : queue,
       leftMs,
       maxRetryAfterFraction,
       availableInMs,
@@ -151,16 +151,16 @@
 
   /** Records that the engine has finished the request. */
   recordSlotFreed(): void {
-    const {forecast, line} = this.options;
-    if (line !== undefined) {
-      forecast.recordSlotFreed(line);
+    const {forecast, queue} = this.options;
+    if (queue !== undefined) {
+      forecast.recordSlotFreed(queue);
     }
   }
 
   end(): void {
-    const {forecast, line} = this.options;
-    if (line !== undefined) {
-      forecast.leaveQueue(line, this);
+    const {forecast, queue} = this.options;
+    if (queue !== undefined) {
+      forecast.leaveQueue(queue, this);
     }
     this.until = undefined;
   }
--- a/test/control/rate_limit_sharing.test.ts
+++ b/test/control/rate_limit_sharing.test.ts
@@ -133,11 +133,11 @@
   const limitAt = () => (perSecond += 0.1);
   const crowd = create(16, 5, {limitAt});
   await crowd.run(LIMITED_FROM_MS);
-  const {limitsTag} = crowd.gateways[0].limits.describeNews();
+  const {limitsTag} = crowd.gateways[0].limits.describeChanges();
   await crowd.run(LIMITED_FROM_MS + 10_000);
 
   expect(perSecond).toBeGreaterThan(6);
-  expect(crowd.gateways[0].limits.describeNews().limitsTag).toBe(limitsTag);
+  expect(crowd.gateways[0].limits.describeChanges().limitsTag).toBe(limitsTag);
 });
 
 describe('under faults a limit is kept', () => {
--- a/test/coordination/plan_engine_groups.test.ts
+++ b/test/coordination/plan_engine_groups.test.ts
@@ -14,8 +14,8 @@
     const backends = ['a', 'b', 'c'].flatMap(domain => hosts(domain, 8));
     const actions = plan({
       backends,
-      usual: new Map(),
-      isFirstStart: true,
+      desiredGroups: new Map(),
+      isColdStart: true,
     });
     const groups = actions.flatMap(action =>
       action.type === 'set-group' ? [action.group] : [],
@@ -86,7 +86,7 @@
     const fresh = hosts('f', 4, {domain: 'd'});
     const [action] = plan({
       backends: [...survivors, spare, ...fresh],
-      usual: new Map([
+      desiredGroups: new Map([
         ['big', 1],
         ['low', 1],
       ]),
@@ -118,7 +118,7 @@
       groups,
       backends: left,
       isLost,
-      hasLeaver: () => true,
+      hasDepartedMember: () => true,
     });
     expect(describeActions(waiting)).toEqual(['release-group low-1']);
 
@@ -130,7 +130,7 @@
       groups: released,
       backends: left,
       isLost,
-      isLetGo: () => true,
+      isHeadStopped: () => true,
     });
     expect(describeActions(over)).toEqual(['remove-group low-1']);
   });
@@ -140,7 +140,7 @@
     const actions = plan({
       groups: [group(['a', 'b'])],
       backends: known,
-      isStillListening: true,
+      isInGracePeriod: true,
     });
     expect(describeActions(actions)).toEqual([]);
   });
@@ -165,9 +165,9 @@
 
   test('joins no other group', () => {
     const backends = [host('a'), host('b')];
-    const usual = new Map([['low', 1]]);
+    const desiredGroups = new Map([['low', 1]]);
     // The other host preloads a model; nothing is planned for the retired one.
-    const actions = plan({backends, isRetired, usual});
+    const actions = plan({backends, isRetired, desiredGroups});
     expect(describeActions(actions)).toEqual(['join a']);
     expect(actions[0]).toMatchObject({group: {name: 'parked-a'}});
   });
@@ -178,18 +178,18 @@
   const spares = [host('s', held), host('t', held)];
   const members = [host('a', told('open')), host('b', told('ready', 1))];
   const groups = [group(['a', 'b'], {isEnding: true})];
-  const usual = new Map([['low', 1]]);
+  const desiredGroups = new Map([['low', 1]]);
   const backends = [...members, ...spares];
 
   test('is formed again from its own hosts, not from the spares of others', () => {
     const isLost = (incarnation: string) => incarnation === 'b';
-    const actions = plan({groups, backends, usual, isLost});
+    const actions = plan({groups, backends, desiredGroups, isLost});
     expect(describeActions(actions)).toEqual(['leave a']);
   });
 
   test('is replaced with spares while an unreachable head holds its hosts', () => {
     const isLost = (incarnation: string) => incarnation === 'a';
-    const actions = plan({groups, backends, usual, isLost});
+    const actions = plan({groups, backends, desiredGroups, isLost});
     expect(describeActions(actions)).toContain('set-group low-2');
   });
 });
--- a/test/coordination/plan_engine_hosts.test.ts
+++ b/test/coordination/plan_engine_hosts.test.ts
@@ -9,13 +9,13 @@
 } from '../support/engine_plan';
 
 describe('hosts without a group', () => {
-  const usual = new Map([
+  const desiredGroups = new Map([
     ['big', 2],
     ['low', 2],
   ]);
 
   test('load a model into memory before any group waits for it', () => {
-    const actions = plan({backends: hosts('d', 4), usual});
+    const actions = plan({backends: hosts('d', 4), desiredGroups});
     expect(describeActions(actions)).toEqual([
       'join d0',
       'join d1',
@@ -30,7 +30,7 @@
 
   test('take the model on their own disk without a load from the store', () => {
     const backends = [host('a', {stagedModels: ['low']})];
-    const [action] = plan({backends, usual});
+    const [action] = plan({backends, desiredGroups});
     expect(action).toMatchObject({kind: 'join', model: 'low', isLoad: false});
   });
 
@@ -40,7 +40,12 @@
     const low = group(['x', 'y']);
     const other = group(['v', 'w'], {name: 'low-2'});
     const groups = [low, other];
-    const [action] = plan({backends, usual, groups, isStillListening: true});
+    const [action] = plan({
+      backends,
+      desiredGroups,
+      groups,
+      isInGracePeriod: true,
+    });
 
     expect(action).toMatchObject({
       type: 'set-group',
@@ -56,7 +61,12 @@
     const other = group(['v', 'w'], {name: 'low-2'});
     const big = group(['p', 'q', 'r', 's'], {name: 'big-1', model: 'big'});
     const groups = [low, other, big];
-    const actions = plan({backends, usual, groups, isStillListening: true});
+    const actions = plan({
+      backends,
+      desiredGroups,
+      groups,
+      isInGracePeriod: true,
+    });
 
     expect(describeActions(actions)).toEqual([]);
   });
@@ -75,16 +85,16 @@
 describe('an overloaded model', () => {
   test('gets one more group from spares, but not from the last spare', () => {
     const held = {model: 'low', stagedModels: ['big']};
-    const usual = new Map([['low', 1]]);
+    const desiredGroups = new Map([['low', 1]]);
     const groups = [group(['x', 'y'])];
-    const isPressed = (model: string) => model === 'low';
+    const isSaturated = (model: string) => model === 'low';
     const formed = (count: number) =>
       plan({
         backends: hosts('d', count, held),
         groups,
-        usual,
-        isPressed,
-        isStillListening: true,
+        desiredGroups,
+        isSaturated,
+        isInGracePeriod: true,
       }).filter(action => action.type === 'set-group').length;
 
     expect(formed(3)).toBe(1);
@@ -115,15 +125,15 @@
   const input = {
     groups: small,
     backends: [...members, ...spares],
-    usual: new Map([
+    desiredGroups: new Map([
       ['big', 1],
       ['low', 3],
     ]),
   };
 
   test('gets the hosts of another model if they and spares are enough', () => {
-    const isPressed = (model: string) => model === 'big';
-    const actions = plan({...input, isPressed});
+    const isSaturated = (model: string) => model === 'big';
+    const actions = plan({...input, isSaturated});
     expect(describeActions(actions)).toContain('end-group low-2');
   });
 
@@ -133,7 +143,7 @@
 });
 
 describe('copies of weights on disk', () => {
-  const usual = new Map([['low', 1]]);
+  const desiredGroups = new Map([['low', 1]]);
 
   test('are kept by spares and by members, spares first', () => {
     const held = {model: 'low', stagedModels: ['low']};
@@ -144,7 +154,7 @@
     const actions = plan({
       groups: [group(['a', 'b'])],
       backends: [...members, host('s', held)],
-      usual,
+      desiredGroups,
     });
 
     expect(describeActions(actions)).toEqual(['stage s', 'stage a', 'stage b']);
@@ -153,7 +163,7 @@
 
   test('do not evict the existing copy', () => {
     const backends = [host('a', {model: 'low', stagedModels: ['big']})];
-    expect(plan({backends, usual: new Map()})).toEqual([]);
+    expect(plan({backends, desiredGroups: new Map()})).toEqual([]);
   });
 
   test('let a member of the small model repair the large one at once', () => {
@@ -163,7 +173,7 @@
     const spare = host('s', {model: 'low', stagedModels: ['big']});
     const [action] = plan({
       backends: [...survivors, spare],
-      usual: new Map([['big', 1]]),
+      desiredGroups: new Map([['big', 1]]),
     });
 
     expect(action).toMatchObject({type: 'set-group', group: {model: 'big'}});
@@ -179,7 +189,11 @@
       host('c', {...held, domain: 'e'}),
     ];
     const groups = [group(['a', 'b'], {domain: 'd+e'})];
-    const actions = plan({groups, backends, usual: new Map([['low', 1]])});
+    const actions = plan({
+      groups,
+      backends,
+      desiredGroups: new Map([['low', 1]]),
+    });
 
     expect(describeActions(actions)).toContain('end-group low-1');
   });
@@ -192,9 +206,9 @@
       host('c', {...held, domain: 'e'}),
     ];
     const groups = [group(['a', 'b'], {domain: 'd+e'})];
-    const usual = new Map([['low', 1]]);
-    const isPressed = () => true;
-    const actions = plan({groups, backends, usual, isPressed});
+    const desiredGroups = new Map([['low', 1]]);
+    const isSaturated = () => true;
+    const actions = plan({groups, backends, desiredGroups, isSaturated});
 
     expect(describeActions(actions)).not.toContain('end-group low-1');
   });
@@ -208,7 +222,11 @@
       host('s', {...held, domain: 'g'}),
     ];
     const groups = [group(['a', 'b'], {domain: 'd+e', isEnding: true})];
-    const actions = plan({groups, backends, usual: new Map([['low', 3]])});
+    const actions = plan({
+      groups,
+      backends,
+      desiredGroups: new Map([['low', 3]]),
+    });
 
     expect(describeActions(actions)).toEqual(['close a']);
   });
--- a/test/coordination/plan_needier_model.test.ts
+++ b/test/coordination/plan_needier_model.test.ts
@@ -39,14 +39,14 @@
 describe('hosts of a domain in which the model with greater need can soon form a group', () => {
   const {groups, views} = createSmallGroups('e', [1, 2]);
   const survivors = ['a', 'b', 'c'].map(name => host(name, holdsBig));
-  const usual = new Map([
+  const desiredGroups = new Map([
     ['big', 2],
     ['low', 3],
   ]);
 
   test('are not taken by the other model', () => {
     const backends = [...views, ...survivors, host('new')];
-    const actions = plan({groups, backends, usual});
+    const actions = plan({groups, backends, desiredGroups});
 
     expect(actions.filter(({type}) => type === 'set-group')).toEqual([]);
   });
@@ -54,7 +54,7 @@
   test('include an empty one, which loads the model with greater need', () => {
     const others = hosts('f', 3, holdsBig);
     const backends = [...views, ...survivors, ...others, host('new')];
-    const [order] = plan({groups, backends, usual}).filter(
+    const [order] = plan({groups, backends, desiredGroups}).filter(
       action => action.type === 'order',
     );
 
@@ -67,7 +67,11 @@
   });
 
   test('are used by the other model when too few remain for the one with greater need', () => {
-    const actions = plan({groups, backends: [...views, ...survivors], usual});
+    const actions = plan({
+      groups,
+      backends: [...views, ...survivors],
+      desiredGroups,
+    });
 
     expect(describeActions(actions)).toContain('set-group low-3');
   });
@@ -78,11 +82,11 @@
     const actions = plan({
       groups: [groups[0], big, {...big, name: 'big-2', epoch: 9}],
       backends,
-      usual: new Map([
+      desiredGroups: new Map([
         ['big', 3],
         ['low', 3],
       ]),
-      isStillListening: true,
+      isInGracePeriod: true,
     });
 
     expect(describeActions(actions)).toContain('set-group low-2');
@@ -97,7 +101,7 @@
     const [order] = plan({
       groups,
       backends: [...views, ...survivors, back],
-      usual: new Map([
+      desiredGroups: new Map([
         ['big', 1],
         ['low', 1],
       ]),
@@ -116,8 +120,8 @@
     const backends = hosts('d', 1).concat(host('a'), host('b', {domain: 'e'}));
     const actions = plan({
       backends,
-      usual: new Map([['low', 0]]),
-      findLoading: incarnation => loading.get(incarnation),
+      desiredGroups: new Map([['low', 0]]),
+      findLoadingModel: incarnation => loading.get(incarnation),
     });
 
     expect(actions).toMatchObject([
@@ -133,17 +137,17 @@
 });
 
 describe('an overloaded model with the greater need', () => {
-  const isPressed = (model: string) => model === 'big';
+  const isSaturated = (model: string) => model === 'big';
   const {groups, views} = createSmallGroups('d', [1, 2]);
   const elsewhere = createSmallGroups('e', [3, 4]);
   const input = {
     groups: [...groups, ...elsewhere.groups],
     backends: [...views, ...elsewhere.views],
-    usual: new Map([
+    desiredGroups: new Map([
       ['big', 1],
       ['low', 4],
     ]),
-    isPressed,
+    isSaturated,
   };
 
   test('gets the hosts of two groups of one domain if one has too few', () => {
@@ -231,11 +235,11 @@
         ...input,
         groups: [...three.groups.slice(0, 2), ...own],
         backends: [...three.views.slice(0, 4), ...spares],
-        usual: new Map([
+        desiredGroups: new Map([
           ['big', 1],
           ['low', 2],
         ]),
-        isStillListening: true,
+        isInGracePeriod: true,
       }).filter(({type}) => type === 'end-group');
 
     expect(listEnded([big])).toEqual([]);
@@ -260,7 +264,7 @@
     const actions = plan({
       ...input,
       backends: [...input.backends, ...free],
-      usual: new Map([
+      desiredGroups: new Map([
         ['big', 1],
         ['low', 5],
       ]),
@@ -275,7 +279,7 @@
       ...input,
       groups,
       backends: views,
-      isPressed: () => true,
+      isSaturated: () => true,
     }).filter(({type}) => type === 'end-group');
 
     expect(ended).toEqual([]);
@@ -322,7 +326,7 @@
     const backends = hosts('d', 4, holdsLow);
     const [action] = plan({
       backends,
-      usual: new Map([
+      desiredGroups: new Map([
         ['big', 1],
         ['low', 1],
       ]),
@@ -345,12 +349,12 @@
   const domains = Array.from({length: 10}, (_, at) => `d${at}`);
   const used = plan({
     profile,
-    usual: computeDesiredGroups(
+    desiredGroups: computeDesiredGroups(
       profile,
       domains.map(() => 37),
     ),
     backends: domains.flatMap(domain => hosts(domain, 37)),
-    isFirstStart: true,
+    isColdStart: true,
   }).flatMap(action =>
     action.type === 'set-group' ? action.group.members : [],
   );
--- a/test/coordination/plan_under_losses.test.ts
+++ b/test/coordination/plan_under_losses.test.ts
@@ -68,7 +68,7 @@
 });
 
 const holdsBig = {model: 'big', stagedModels: ['low']};
-const usual = new Map([
+const desiredGroups = new Map([
   ['big', 2],
   ['low', 2],
 ]);
@@ -105,7 +105,7 @@
     const actions = plan({
       groups: [low1.set, heldGroup],
       backends: [...low1.views, ...others, ...spares],
-      usual,
+      desiredGroups,
       isLost: name => name === 'h',
     });
     expect(describeActions(actions)).not.toContain('set-group low-2');
@@ -138,8 +138,8 @@
     const actions = plan({
       groups: [...bigs.map(({set}) => set), heldGroup, second],
       backends: [...bigs.flatMap(({views}) => views), ...views],
-      usual,
-      isPressed: model => model === 'low',
+      desiredGroups,
+      isSaturated: model => model === 'low',
       isLost: name => name === 'low-1a' || name === 'low-2a',
     });
     expect(
--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -169,20 +169,20 @@
         profile,
         groups: this.groups,
         backends,
-        isFirstStart: this.groups.length === 0,
+        isColdStart: this.groups.length === 0,
         now,
         silentAfterMs: SILENT_AFTER_MS,
-        isStillListening: false,
+        isInGracePeriod: false,
         mayRebalance: now - this.rebalancedAt > REBALANCE_EVERY_MS,
         epoch: this.epoch,
-        findLoading: id => this.hosts.get(id)?.loading,
-        isPressed: model =>
+        findLoadingModel: id => this.hosts.get(id)?.loading,
+        isSaturated: model =>
           now - (this.pressedAt.get(model) ?? -Infinity) < PRESSED_MS,
         isRetired: () => false,
         isLost: id => this.isLost(id),
-        isLetGo: ({epoch}) =>
+        isHeadStopped: ({epoch}) =>
           now - (this.releasedAt.get(epoch) ?? Infinity) > LET_GO_MS,
-        hasLeaver: group =>
+        hasDepartedMember: group =>
           group.members
             .slice(1)
             .some(({incarnation}) => !this.hosts.get(incarnation)?.isIn(group)),
@@ -197,12 +197,15 @@
 
   private followDemand(
     domains: readonly number[],
-    configured: Omit<EnginePlanInput, 'usual'>,
+    configured: Omit<EnginePlanInput, 'desiredGroups'>,
   ): EnginePlanInput {
     const {followsDemand = true} = this.options;
     const {profile} = configured;
     if (!followsDemand || this.now < 0) {
-      return {...configured, usual: computeDesiredGroups(profile, domains)};
+      return {
+        ...configured,
+        desiredGroups: computeDesiredGroups(profile, domains),
+      };
     }
     const {follower} = this;
     const demand = createDemand(
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -184,7 +184,7 @@
   /** One question about news, and its answer. */
   exchange(gateway: CrowdGateway): void {
     const {limits} = gateway;
-    const {limitsTag, limits: words} = limits.describeNews();
+    const {limitsTag, limits: words} = limits.describeChanges();
     this.time.after(this.drawDelay(), () => {
       const {desk} = this;
       if (!desk || gateway.isCutOff) {
@@ -195,7 +195,7 @@
       const news = tag === limitsTag ? [] : desk.listChangesSince(limitsTag);
       this.actAt(gateway, this.drawDelay(), () => {
         if (gateway.limits === limits) {
-          limits.applyNews(words, tag, news);
+          limits.applyChanges(words, tag, news);
         }
       });
     });
