--- a/src/control/backend_registry.ts
+++ b/src/control/backend_registry.ts
@@ -106,7 +106,7 @@
    * left, its registrations no longer name the model, but it is still in memory and a group
    * of that model can be joined at once. A new leader knows it only from the replicated log.
    */
-  recordHeldModel(incarnation: string, model: string): void {
+  recordLoadedModel(incarnation: string, model: string): void {
     const known = this.views.get(incarnation);
     const isInGroup = known?.registration.group !== undefined;
     if (known && !isInGroup && known.loadedModel === undefined) {
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -43,7 +43,7 @@
   private readonly signal = ChangeSignal.create();
   private readonly incarnation = randomBytes(8).toString('hex');
   private server: FrameServer | undefined;
-  private links: ControlConnections | undefined;
+  private connections: ControlConnections | undefined;
   private member: QuorumMember | undefined;
   private enginePlanner: EngineGroupPlannerLoop | undefined;
   private readonly registry: BackendRegistry;
@@ -121,7 +121,7 @@
   async close(): Promise<void> {
     this.planner?.close();
     this.enginePlanner?.close();
-    this.links?.close();
+    this.connections?.close();
     await this.server?.close();
     await this.member?.close();
     await this.disk.close();
@@ -144,7 +144,7 @@
       onConnection: connection =>
         void this.acceptPeer(connection).catch(() => undefined),
     });
-    this.links = ControlConnections.create({
+    this.connections = ControlConnections.create({
       identity: this.identity,
       addresses: settings.seeded
         ? new Map(listOtherSeeds(settings).map(seed => [seed, seed]))
@@ -157,7 +157,7 @@
     this.member = QuorumMember.create({
       settings,
       disk,
-      links: this.links,
+      connections: this.connections,
       clock: systemClock,
       leaseClock: LeaseClock.create({
         steady: systemClock,
@@ -314,7 +314,7 @@
           identity: disk.identity,
           runtime,
           fleet,
-          reachable: this.links?.listIdentities() ?? [],
+          reachable: this.connections?.listIdentities() ?? [],
           now: systemClock.now(),
         }),
     });
@@ -323,7 +323,7 @@
   /** A message that can't be sent counts as lost, which the consensus protocol tolerates. */
   private sendRaft(to: string, message: RaftMessage): void {
     try {
-      this.links?.send(to, message);
+      this.connections?.send(to, message);
     } catch (error) {
       this.record('message-not-sent', (error as Error).message);
     }
--- a/src/control/engine_group_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -128,7 +128,7 @@
     if (groups.length === 0 && !this.isSettled(backends, now)) {
       return;
     }
-    this.recordHeldModels(groups);
+    this.recordLoadedModels(groups);
     this.health.refresh(groups, now);
     const domains = countByDomain(this.listHealthy(backends));
     const input = {
@@ -173,11 +173,11 @@
   ): EnginePlanInput {
     const {gateways, events} = this.options;
     const {pool} = configured;
-    const follower = this.shareAdjusters.get(pool) ?? ShareAdjuster.create();
-    this.shareAdjusters.set(pool, follower);
+    const adjuster = this.shareAdjusters.get(pool) ?? ShareAdjuster.create();
+    this.shareAdjusters.set(pool, adjuster);
     const demand = gateways.computeDemand();
     const {input, shifted} = createEnginePlanInput({
-      adjuster: follower,
+      adjuster,
       input: configured,
       domains,
       demand,
@@ -211,11 +211,11 @@
   }
 
   /** Members of an ending group still have the weights of its model in memory. */
-  private recordHeldModels(groups: readonly EngineGroup[]): void {
+  private recordLoadedModels(groups: readonly EngineGroup[]): void {
     const {registry} = this.options;
     for (const {members, model} of groups.filter(group => group.isEnding)) {
       members.forEach(({incarnation}) =>
-        registry.recordHeldModel(incarnation, model),
+        registry.recordLoadedModel(incarnation, model),
       );
     }
   }
@@ -250,11 +250,8 @@
   }
 }
 
-function hasNoWeights({
-  registration,
-  loadedModel: heldModel,
-}: BackendView): boolean {
-  return heldModel === undefined && registration.stagedModels.length === 0;
+function hasNoWeights({registration, loadedModel}: BackendView): boolean {
+  return loadedModel === undefined && registration.stagedModels.length === 0;
 }
 
 type GroupCommand = Extract<
--- a/src/control/quorum_manager.ts
+++ b/src/control/quorum_manager.ts
@@ -27,7 +27,7 @@
 interface QuorumManagerOptions {
   readonly settings: ControlSettings;
   readonly disk: ControlDisk;
-  readonly links: Pick<
+  readonly connections: Pick<
     ControlConnections,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
   >;
@@ -62,7 +62,7 @@
    * Creates a manager, which changes voters periodically while this process is leader.
    *
    * @example
-   * const manager = QuorumManager.create({settings, disk, links, clock, findRuntime, onQuorum});
+   * const manager = QuorumManager.create({settings, disk, connections, clock, findRuntime, onQuorum});
    */
   static create(options: QuorumManagerOptions): QuorumManager {
     return new QuorumManager(options);
@@ -134,9 +134,12 @@
   }
 
   private async formOrJoin(): Promise<void> {
-    const {disk, links, settings} = this.options;
-    for (const identity of links.listIdentities()) {
-      links.send(identity, {type: 'formation-ask', identity: disk.identity});
+    const {disk, connections, settings} = this.options;
+    for (const identity of connections.listIdentities()) {
+      connections.send(identity, {
+        type: 'formation-ask',
+        identity: disk.identity,
+      });
     }
     const voters = decideInitialVoters(
       disk.identity,
@@ -169,11 +172,11 @@
 
   /** Adds connections in a seeded quorum, where the name of a process is its address. */
   private addConnections(names: readonly string[]): void {
-    const {settings, links} = this.options;
+    const {settings, connections} = this.options;
     if (settings.seeded) {
       names
         .filter(name => name !== settings.name)
-        .forEach(name => links.add(name, name));
+        .forEach(name => connections.add(name, name));
     }
   }
 
@@ -183,7 +186,7 @@
   }
 
   private async changeVoters(): Promise<void> {
-    const {links, settings, findRuntime, clock} = this.options;
+    const {connections, settings, findRuntime, clock} = this.options;
     const runtime = findRuntime();
     if (!runtime?.canServe() || runtime.raft.isChangingVoters) {
       return;
@@ -191,7 +194,7 @@
     const now = clock.now();
     const {raft} = runtime;
     const voters = raft.listVotersAt(raft.commitIndex);
-    const reachable = links.listIdentities();
+    const reachable = connections.listIdentities();
     const candidates = reachable.filter(
       identity =>
         !settings.seeded ||
@@ -229,7 +232,8 @@
     if (connected !== undefined) {
       return connected !== identity;
     }
-    const heardAt = this.options.links.findHeardAt(identity) ?? this.startedAt;
+    const heardAt =
+      this.options.connections.findHeardAt(identity) ?? this.startedAt;
     return now - heardAt > REPLACE_AFTER_MS;
   }
 }
--- a/src/control/quorum_member.ts
+++ b/src/control/quorum_member.ts
@@ -19,7 +19,7 @@
 > {
   readonly settings: ControlSettings;
   readonly disk: ControlDisk;
-  readonly links: Pick<
+  readonly connections: Pick<
     ControlConnections,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
   >;
@@ -38,11 +38,11 @@
   private raftRuntime: RaftRuntime | undefined;
 
   private constructor(private readonly options: QuorumMemberOptions) {
-    const {settings, disk, links, clock, timers} = options;
+    const {settings, disk, connections, clock, timers} = options;
     this.manager = QuorumManager.create({
       settings,
       disk,
-      links,
+      connections,
       clock,
       timers,
       findRuntime: () => this.raftRuntime,
--- a/src/control/rate_limit_service.ts
+++ b/src/control/rate_limit_service.ts
@@ -43,10 +43,10 @@
   private term = -1;
   private expiredAt = -Infinity;
 
-  private readonly lines: LimitLines;
+  private readonly eventLog: LimitLines;
 
   private constructor(private readonly options: RateLimitServiceOptions) {
-    this.lines = LimitLines.create(options.events, options.clock);
+    this.eventLog = LimitLines.create(options.events, options.clock);
   }
 
   /**
@@ -124,7 +124,7 @@
       this.changeCount += 1;
       notify();
     }
-    this.lines.record({
+    this.eventLog.record({
       incarnation,
       perSecond,
       before,
--- a/src/control/registration_service.ts
+++ b/src/control/registration_service.ts
@@ -31,10 +31,10 @@
 
 /** Records registrations and retires backend servers that leave; its caller checks that this process leads. */
 export class RegistrationService {
-  private readonly lines: ThrottledLines;
+  private readonly eventLog: ThrottledLines;
 
   private constructor(private readonly options: RegistrationServiceOptions) {
-    this.lines = ThrottledLines.create(options.events, options.clock);
+    this.eventLog = ThrottledLines.create(options.events, options.clock);
   }
 
   /**
@@ -157,7 +157,7 @@
     {incarnation, pool, address, sequence}: BackendRegistration,
     reason: string,
   ): void {
-    this.lines.record('registration', {
+    this.eventLog.record('registration', {
       type: 'registration-refused',
       subject: 'host',
       id: incarnation,
--- a/src/coordination/groups/estimate_late_fraction.ts
+++ b/src/coordination/groups/estimate_late_fraction.ts
@@ -43,8 +43,10 @@
   const prefillLoad = promptTokensPerSecond / profile.promptTokensPerSecond;
   const decodeLoad =
     (answerTokensPerSecond * profile.stepMsPerRequest) / MS_PER_SECOND;
-  const held = (answerTokensPerSecond * profile.stepMs) / MS_PER_SECOND;
-  const needed = model.pace * (prefillLoad + decodeLoad + held / profile.slots);
+  const occupiedSlots =
+    (answerTokensPerSecond * profile.stepMs) / MS_PER_SECOND;
+  const needed =
+    model.pace * (prefillLoad + decodeLoad + occupiedSlots / profile.slots);
   return (
     LATE_FRACTION_AT_CAPACITY *
     (needed / Math.max(groups, MIN_GROUPS)) ** UTILIZATION_EXPONENT
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -20,7 +20,7 @@
   readonly remainingMs: number;
   readonly lastEventId?: string;
   readonly maxConnections: number;
-  readonly origins: HttpOrigins;
+  readonly clientPool: HttpOrigins;
   readonly balancer: LoadBalancer;
   readonly signals: BackendSignals;
   readonly dialect: HttpDialect;
@@ -118,7 +118,7 @@
   }
 
   private send(): void {
-    const {request, body, target, dialect, origins, balancer} = this.options;
+    const {request, body, target, dialect, clientPool, balancer} = this.options;
     const {workspace, remainingMs, lastEventId, maxConnections} = this.options;
     const {incarnation, address} = target;
     balancer.recordRequestStart(incarnation, request.promptTokens);
@@ -128,7 +128,7 @@
       remainingMs,
       lastEventId,
     });
-    this.handle = origins.call(
+    this.handle = clientPool.call(
       {
         address,
         method: request.method,
--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -35,7 +35,7 @@
   readonly events: EventRing;
   readonly askPermit: (limit: LimitWord) => Promise<PermitVerdict>;
   /** Called when the control plane should be told of a limit at once. */
-  readonly onNews: () => void;
+  readonly reportNow: () => void;
 }
 
 /** The permit for a backend server without a rate limit. */
@@ -44,7 +44,7 @@
 /** Shared by all requests of a gateway. */
 export class BackendRateLimits {
   private readonly limits = AdvertisedLimits.create();
-  private readonly pacings = new Map<string, PermitRequestPacer>();
+  private readonly pacers = new Map<string, PermitRequestPacer>();
   /**
    * The last limit of each backend server that was exchanged with a leader,
    * with that leader's name.
@@ -54,17 +54,17 @@
   /** No permit is requested before this time, since no leader answered. */
   private pausedUntil = -Infinity;
 
-  private readonly lines: LimitLines;
+  private readonly eventLog: LimitLines;
 
   private constructor(private readonly options: BackendRateLimitsOptions) {
-    this.lines = LimitLines.create(options.events, options.clock);
+    this.eventLog = LimitLines.create(options.events, options.clock);
   }
 
   /**
    * Creates a table without limits.
    *
    * @example
-   * const limits = BackendRateLimits.create({clock, leaseClock, events, askPermit, onNews});
+   * const limits = BackendRateLimits.create({clock, leaseClock, events, askPermit, reportNow});
    */
   static create(options: BackendRateLimitsOptions): BackendRateLimits {
     return new BackendRateLimits(options);
@@ -76,7 +76,7 @@
     perSecond: number | undefined,
     sentAt: number,
   ): void {
-    const {clock, onNews} = this.options;
+    const {clock, reportNow} = this.options;
     const wasLimited = this.isLimited(incarnation);
     this.apply({
       incarnation,
@@ -87,7 +87,7 @@
     // A changed limit concerns only the leader, which gets it with the next
     // permit request.
     if (wasLimited !== this.isLimited(incarnation)) {
-      onNews();
+      reportNow();
     }
   }
 
@@ -99,7 +99,7 @@
   /** False if a permit can't be obtained now. */
   isAvailable(incarnation: string): boolean {
     const now = this.options.clock.now();
-    const canAsk = this.pacings.get(incarnation)?.canRequest(now) ?? true;
+    const canAsk = this.pacers.get(incarnation)?.canRequest(now) ?? true;
     return !this.isLimited(incarnation) || (canAsk && now >= this.pausedUntil);
   }
 
@@ -110,11 +110,11 @@
     if (!limit || limit.perSecond === null) {
       return UNLIMITED_PERMIT;
     }
-    const pacing = this.findPacing(incarnation);
+    const pacer = this.findPacer(incarnation);
     const askedAt = leaseClock.now();
-    pacing.startRequest();
+    pacer.startRequest();
     const verdict = await askPermit(limit).catch(() => undefined);
-    pacing.finishRequest(verdict, clock.now());
+    pacer.finishRequest(verdict, clock.now());
     if (!verdict) {
       this.pausedUntil = clock.now() + NO_LEADER_RETRY_MS;
     }
@@ -138,12 +138,12 @@
    */
   reserveRetryMs(incarnations: readonly string[]): number {
     const now = this.options.clock.now();
-    const pacings = incarnations
+    const pacers = incarnations
       .filter(incarnation => this.isLimited(incarnation))
-      .map(incarnation => this.findPacing(incarnation));
-    const times = pacings.map(pacing => pacing.computeRetryAfterMs(now));
+      .map(incarnation => this.findPacer(incarnation));
+    const times = pacers.map(pacer => pacer.computeRetryAfterMs(now));
     const inMs = Math.max(0, Math.min(Infinity, ...times));
-    pacings[times.indexOf(Math.min(...times))]?.recordRetryAfter(inMs, now);
+    pacers[times.indexOf(Math.min(...times))]?.recordRetryAfter(inMs, now);
     return inMs;
   }
 
@@ -152,9 +152,9 @@
    * here, and the limits that its leader was not told.
    */
   describeChanges(): {limitsTag: string; limits: LimitWord[]} {
-    const held = this.limits.list();
+    const limited = this.limits.list();
     const unreported = this.limits
-      .describe(held, this.options.clock.now())
+      .describe(limited, this.options.clock.now())
       .filter(
         change =>
           this.reported.get(change.incarnation) !==
@@ -195,10 +195,10 @@
    */
   expire(isKnown: (incarnation: string) => boolean): void {
     this.limits.expire(this.options.clock.now(), isKnown);
-    const held = new Set(this.limits.list());
-    for (const table of [this.pacings, this.reported]) {
+    const limited = new Set(this.limits.list());
+    for (const table of [this.pacers, this.reported]) {
       for (const incarnation of table.keys()) {
-        if (!held.has(incarnation)) {
+        if (!limited.has(incarnation)) {
           table.delete(incarnation);
         }
       }
@@ -222,10 +222,10 @@
     }
     this.reported.delete(incarnation);
     if (perSecond === null) {
-      this.pacings.delete(incarnation);
+      this.pacers.delete(incarnation);
     }
     const announcedAt = perSecond === null ? (before?.advertisedAt ?? at) : at;
-    this.lines.record({
+    this.eventLog.record({
       incarnation,
       perSecond,
       before: before?.perSecond,
@@ -234,10 +234,10 @@
     });
   }
 
-  private findPacing(incarnation: string): PermitRequestPacer {
-    const pacing = this.pacings.get(incarnation) ?? PermitRequestPacer.create();
-    this.pacings.set(incarnation, pacing);
-    return pacing;
+  private findPacer(incarnation: string): PermitRequestPacer {
+    const pacer = this.pacers.get(incarnation) ?? PermitRequestPacer.create();
+    this.pacers.set(incarnation, pacer);
+    return pacer;
   }
 }
 
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -31,20 +31,20 @@
   readonly limits: BackendRateLimits;
   private readonly backoffs: BackendBackoffs;
   private readonly shutdowns: BackendShutdowns;
-  private readonly lines: ThrottledLines;
+  private readonly eventLog: ThrottledLines;
 
   private constructor(options: BackendSignalsOptions) {
     this.limits = BackendRateLimits.create(options);
     this.backoffs = BackendBackoffs.create(options);
     this.shutdowns = BackendShutdowns.create(options);
-    this.lines = ThrottledLines.create(options.events, options.clock);
+    this.eventLog = ThrottledLines.create(options.events, options.clock);
   }
 
   /**
    * Creates signals with no entries.
    *
    * @example
-   * const signals = BackendSignals.create({clock, leaseClock, events, random, askPermit, reportLeaving, onNews});
+   * const signals = BackendSignals.create({clock, leaseClock, events, random, askPermit, reportLeaving, reportNow});
    */
   static create(options: BackendSignalsOptions): BackendSignals {
     return new BackendSignals(options);
@@ -157,7 +157,7 @@
   }
 
   private recordInvalidHeader(incarnation: string, unread: string): void {
-    this.lines.record('answer-header-ignored', {
+    this.eventLog.record('answer-header-ignored', {
       type: 'answer-header-ignored',
       subject: 'host',
       id: incarnation,
--- a/src/gateway/control_poller.ts
+++ b/src/gateway/control_poller.ts
@@ -11,7 +11,7 @@
 import {BackendRateLimits} from './backend_rate_limits';
 import {RouteIndex} from './route_index';
 
-/** Longer than control delays the answer to a poll without news. */
+/** Longer than control delays the answer to a poll without an update. */
 const POLL_TIMEOUT_MS = 2_500;
 /** Pause between a failed poll and the next one. */
 const RETRY_DELAY_MS = 50;
@@ -26,7 +26,7 @@
   readonly answeringMsAgo: readonly number[];
   readonly running: Readonly<Record<string, number>>;
   /** Models whose requests were refused lately because no slot was free. */
-  readonly pressed: readonly string[];
+  readonly saturatedModels: readonly string[];
   readonly hasServed: boolean;
   /** Demand of callers, by model. */
   readonly demand: Readonly<Record<string, ModelDemand>>;
@@ -49,7 +49,7 @@
   ) => void;
   /** Returns the version of the list of suspected requests that this gateway has. */
   readonly readSuspectsVersion: () => number;
-  readonly onSuspects: (news: SuspectNews) => void;
+  readonly onSuspects: (update: SuspectNews) => void;
   /** Rate limits of backend servers, which gateways exchange through control. */
   readonly limits: Pick<BackendRateLimits, 'describeChanges' | 'applyChanges'>;
   readonly onTargets: (targets: ReadonlyMap<string, GatewayTarget>) => void;
@@ -155,7 +155,7 @@
         answering: [...report.answering],
         answeringMsAgo: [...report.answeringMsAgo],
         running: {...report.running},
-        pressed: [...report.pressed],
+        pressed: [...report.saturatedModels],
         hasServed: report.hasServed,
         isUrgent,
         suspectsVersion: this.options.readSuspectsVersion(),
--- a/src/gateway/crash_containment.ts
+++ b/src/gateway/crash_containment.ts
@@ -57,8 +57,8 @@
   }
 
   /** Applies changes to the list from the control plane. */
-  apply(news: SuspectNews): void {
-    this.list.apply(news);
+  apply(update: SuspectNews): void {
+    this.list.apply(update);
   }
 
   /** Returns whether a request may be sent freely, only on trial, or never. */
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -14,7 +14,7 @@
  * All connections to a backend server break within milliseconds when its
  * process ends; a later break is probed again.
  */
-const BREAK_WINDOW_MS = 1_000;
+const CONNECTION_LOSS_WINDOW_MS = 1_000;
 /**
  * Identities in one log entry, which names each request that may have caused
  * the crash; usually no more than three have no response yet.
@@ -24,7 +24,7 @@
 /** The state of a backend server's process after a connection to it broke. */
 type ProcessState = 'ended' | 'alive' | 'unknown';
 
-interface Break {
+interface ConnectionLoss {
   readonly since: number;
   readonly attempts: InterruptedAttempt[];
   readonly state: Promise<ProcessState>;
@@ -49,9 +49,9 @@
   readonly probe?: typeof probeListening;
 }
 
-/** Probes once per break, however many requests it affects. */
+/** Probes once per connection loss, however many requests it affects. */
 export class CrashDetector {
-  private readonly breaks = new Map<string, Break>();
+  private readonly connectionLosses = new Map<string, ConnectionLoss>();
 
   private constructor(private readonly options: CrashDetectorOptions) {}
 
@@ -70,14 +70,14 @@
   detectState(attempt: InterruptedAttempt): Promise<ProcessState> {
     const {incarnation} = attempt.target;
     const now = this.options.clock.now();
-    const known = this.breaks.get(incarnation);
-    if (known && now - known.since < BREAK_WINDOW_MS) {
+    const known = this.connectionLosses.get(incarnation);
+    if (known && now - known.since < CONNECTION_LOSS_WINDOW_MS) {
       known.attempts.push(attempt);
       return known.state;
     }
     const attempts = [attempt];
     const state = this.probe(attempt);
-    this.breaks.set(incarnation, {since: now, attempts, state});
+    this.connectionLosses.set(incarnation, {since: now, attempts, state});
     void state.then(found => this.record(attempt.target, found, attempts));
     this.expire(now);
     return state;
@@ -89,9 +89,9 @@
   }
 
   private expire(now: number): void {
-    for (const [incarnation, {since}] of this.breaks) {
-      if (now - since >= BREAK_WINDOW_MS) {
-        this.breaks.delete(incarnation);
+    for (const [incarnation, {since}] of this.connectionLosses) {
+      if (now - since >= CONNECTION_LOSS_WINDOW_MS) {
+        this.connectionLosses.delete(incarnation);
       }
     }
   }
--- a/src/gateway/create_backend_signals.ts
+++ b/src/gateway/create_backend_signals.ts
@@ -11,7 +11,7 @@
   readonly client: Pick<ControlClient, 'ask'>;
   readonly events: EventRing;
   /** Called when the control plane should be told of a change at once. */
-  readonly onNews: () => void;
+  readonly reportNow: () => void;
 }
 
 /**
@@ -19,13 +19,13 @@
  * plane. Waits no longer for a permit than it could be used.
  *
  * @example
- * const signals = createBackendSignals({gatewayId, client, events, onNews});
+ * const signals = createBackendSignals({gatewayId, client, events, reportNow});
  */
 export function createBackendSignals({
   gatewayId,
   client,
   events,
-  onNews,
+  reportNow,
 }: SignalSource): BackendSignals {
   const wall = () => Date.now();
   return BackendSignals.create({
@@ -33,7 +33,7 @@
     leaseClock: LeaseClock.create({steady: systemClock, wall}),
     events,
     random: Math.random,
-    onNews,
+    reportNow,
     reportLeaving(incarnations) {
       const ask = {type: 'leaving-ask' as const, gatewayId, incarnations};
       return client.ask<'leaving-ask'>(ask);
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -49,7 +49,7 @@
   /** Recorded events; the newest are kept in memory. */
   readonly events = EventRing.create();
   private readonly clock = systemClock;
-  private readonly origins = HttpOrigins.create();
+  private readonly clientPool = HttpOrigins.create();
   private readonly balancer: LoadBalancer;
   private readonly poller: ControlPoller;
   private readonly requestLog: RequestLog;
@@ -68,7 +68,7 @@
   private openRequests = 0;
   /** Responses to admitted requests, until their last byte is sent. */
   private readonly admittedResponses = new Set<ResponseWriter>();
-  private readonly pressed = SaturatedModels.create(systemClock);
+  private readonly saturatedModels = SaturatedModels.create(systemClock);
   private readonly signals: BackendSignals;
   /** Connections on which a request has arrived before. */
   private readonly seenConnections = new WeakSet<Socket>();
@@ -89,15 +89,15 @@
     this.seeds = control;
     this.controlAddresses = control;
     const incarnation = randomBytes(8).toString('hex');
-    const lines = ThrottledLines.create(events, clock);
+    const eventLog = ThrottledLines.create(events, clock);
     const client = ControlClient.create({
       addresses: () => this.controlAddresses,
       tryTimeoutMs: CONTROL_TIMEOUT_MS,
       identity: {program: 'gateway', id: gatewayId, incarnation},
-      onSearched: search => recordSearch(lines, gatewayId, search),
+      onSearched: search => recordSearch(eventLog, gatewayId, search),
     });
     const reportNow = () => this.poller.reportNow();
-    const source = {gatewayId, client, events, onNews: reportNow};
+    const source = {gatewayId, client, events, reportNow};
     this.signals = createBackendSignals(source);
     this.balancer = LoadBalancer.create(
       zone,
@@ -129,19 +129,19 @@
       changesWithinMs,
       collectReport: () => ({
         ...this.balancer.describeHealth(),
-        pressed: this.pressed.list(),
+        saturatedModels: this.saturatedModels.list(),
         hasServed: this.hasServed,
         demand: this.demand.describe(),
       }),
       onRunning: (running, others) =>
         this.balancer.setRunningElsewhere(running, others),
       readSuspectsVersion: () => this.containment.version,
-      onSuspects: news => this.containment.apply(news),
+      onSuspects: update => this.containment.apply(update),
       limits: this.signals.limits,
       onTargets: targets => {
         this.balancer.setTargets(targets);
         this.signals.expire(name => this.balancer.has(name));
-        this.origins.retain(this.balancer.listAddresses());
+        this.clientPool.retain(this.balancer.listAddresses());
       },
       onControl: addresses => {
         this.controlAddresses = [...new Set([...addresses, ...this.seeds])];
@@ -225,7 +225,7 @@
     this.signals.close();
     this.poller.close();
     await this.listener?.close();
-    await this.origins.close();
+    await this.clientPool.close();
   }
 
   private async handle(
@@ -312,7 +312,7 @@
       maxConnections: Math.max(1, Math.floor(connections)),
       arrivedAt,
       response: writer,
-      origins: this.origins,
+      clientPool: this.clientPool,
       balancer: this.balancer,
       budget: this.findRetryBudget(pool.name),
       forecast: this.forecast,
@@ -366,7 +366,7 @@
     }
     const {model} = request;
     if (outcome === 'refused' && model !== undefined) {
-      if (this.pressed.record(model)) {
+      if (this.saturatedModels.record(model)) {
         this.poller.reportNow();
       }
     }
--- a/src/gateway/proxied_request.ts
+++ b/src/gateway/proxied_request.ts
@@ -96,8 +96,8 @@
   check(now: number): void {
     const {containment, identity} = this.options;
     const {attempt} = this.sender;
-    const hasBegun = attempt?.hasStarted ?? false;
-    const suspicion = hasBegun ? 'free' : containment.findStatus(identity);
+    const hasStarted = attempt?.hasStarted ?? false;
+    const suspicion = hasStarted ? 'free' : containment.findStatus(identity);
     if (suspicion === 'convicted') {
       this.abandon(CONVICTED_REASON, ERROR_STATUS.cannotBeRun);
     } else if (this.trial.isWaiting) {
@@ -274,7 +274,7 @@
    * it waits until that is known. One whose response had begun is retried at once.
    */
   private async handleConnectionLoss(
-    {target, hasStarted: hasBegun}: Attempt,
+    {target, hasStarted}: Attempt,
     reason: string,
   ): Promise<void> {
     const {containment, identity, clock} = this.options;
@@ -284,9 +284,9 @@
     const decided = containment.recordConnectionLoss({
       target,
       name,
-      hasResponseStarted: hasBegun,
+      hasResponseStarted: hasStarted,
     });
-    if (!hasBegun) {
+    if (!hasStarted) {
       this.isCrashUnknown = true;
       await decided;
       this.isCrashUnknown = false;
--- a/src/gateway/proxied_request_options.ts
+++ b/src/gateway/proxied_request_options.ts
@@ -25,7 +25,7 @@
   /** In milliseconds of this process's monotonic clock. */
   readonly arrivedAt: number;
   readonly response: ResponseWriter;
-  readonly origins: HttpOrigins;
+  readonly clientPool: HttpOrigins;
   readonly balancer: LoadBalancer;
   readonly budget: RetryBudget;
   readonly forecast: SlotForecast;
--- a/src/gateway/request_sender.ts
+++ b/src/gateway/request_sender.ts
@@ -51,14 +51,17 @@
   /**
    * Finds one of the least loaded backend servers that were not tried yet.
    *
-   * @param isSure leaves out backend servers that may deny the request
+   * @param excludesLimited leaves out backend servers that may deny the request
    */
-  findTarget(mayQueue: boolean, isSure = false): GatewayTarget | undefined {
+  findTarget(
+    mayQueue: boolean,
+    excludesLimited = false,
+  ): GatewayTarget | undefined {
     const {request, pool, balancer} = this.options.context;
     return balancer.choose({
       pool: pool.name,
       mayQueue,
-      excludesLimited: isSure,
+      excludesLimited,
       model: pool.engine ? request.model : undefined,
       excluded: this.tried,
     });
--- a/src/gateway/suspect_list.ts
+++ b/src/gateway/suspect_list.ts
@@ -53,17 +53,17 @@
    * Applies changes from the control plane; ignores those older than the list
    * held here.
    */
-  apply(news: SuspectNews): void {
-    if (news.version < this.listVersion) {
+  apply(update: SuspectNews): void {
+    if (update.version < this.listVersion) {
       return;
     }
-    if (news.isWhole) {
+    if (update.isWhole) {
       this.listed.clear();
     }
-    news.suspected.forEach(name => this.listed.set(name, 'suspected'));
-    news.convicted.forEach(name => this.listed.set(name, 'convicted'));
-    news.freed.forEach(name => this.listed.delete(name));
-    this.listVersion = news.version;
+    update.suspected.forEach(name => this.listed.set(name, 'suspected'));
+    update.convicted.forEach(name => this.listed.set(name, 'convicted'));
+    update.freed.forEach(name => this.listed.delete(name));
+    this.listVersion = update.version;
     this.indexCallers();
   }
 
--- a/src/gateway/suspect_trial.ts
+++ b/src/gateway/suspect_trial.ts
@@ -40,7 +40,7 @@
   private notBefore = -Infinity;
   private askedAt = -Infinity;
   private isAsking = false;
-  private answer: TrialStep | undefined;
+  private nextStep: TrialStep | undefined;
   private isTrialGranted = false;
   /** The request has been a suspect, so its completion clears it. */
   private wasSuspected = false;
@@ -77,7 +77,7 @@
   beginWaiting(now: number): void {
     this.wasSuspected = true;
     this.waitingSince = now;
-    this.answer = undefined;
+    this.nextStep = undefined;
   }
 
   /**
@@ -91,10 +91,10 @@
     canAwait: boolean,
     findTarget: () => GatewayTarget | undefined,
   ): TrialStep {
-    const {answer} = this;
-    this.answer = undefined;
-    if (answer) {
-      return this.settle(answer);
+    const {nextStep} = this;
+    this.nextStep = undefined;
+    if (nextStep) {
+      return this.settle(nextStep);
     }
     const waitedMs = now - Math.max(this.waitingSince ?? now, this.notBefore);
     if (waitedMs > MAX_WAIT_MS && !this.isAsking) {
@@ -149,9 +149,9 @@
       // The caller left or the time ran out while the control plane decided.
       this.release();
     } else if (verdict === 'granted') {
-      this.answer = {kind: 'send', target};
+      this.nextStep = {kind: 'send', target};
     } else if (verdict === 'free') {
-      this.answer = {kind: 'free'};
+      this.nextStep = {kind: 'free'};
     }
   }
 
--- a/test/control/backend_registry.test.ts
+++ b/test/control/backend_registry.test.ts
@@ -84,7 +84,7 @@
   test('still holds the model of that group, also for a new leader', () => {
     const {registry} = create();
     registry.record(host('a', {model: undefined}).registration, 0);
-    registry.recordHeldModel('a', 'big');
+    registry.recordLoadedModel('a', 'big');
     registry.record(host('a', {sequence: 2}).registration, 1_000);
     expect(registry.find('a')?.loadedModel).toBe('big');
   });
@@ -95,14 +95,14 @@
     const joining = {name: 'g', epoch: 1, rank: 0, state: 'joining' as const};
     const again = host('a', {model: undefined, group: joining, sequence: 2});
     registry.record(again.registration, 1_000);
-    registry.recordHeldModel('a', 'low');
+    registry.recordLoadedModel('a', 'low');
     expect(registry.find('a')?.loadedModel).toBeUndefined();
   });
 
   test('has the model that it registers, whatever its group had', () => {
     const {registry} = create();
     registry.record(host('a', {model: 'low'}).registration, 0);
-    registry.recordHeldModel('a', 'big');
+    registry.recordLoadedModel('a', 'big');
     expect(registry.find('a')?.loadedModel).toBe('low');
   });
 });
--- a/test/control/backend_restarts.test.ts
+++ b/test/control/backend_restarts.test.ts
@@ -31,7 +31,7 @@
   test('replaces its predecessor with the first registration received, whatever its sequence number', () => {
     const {registry, register, list} = create();
     register(1_000, 40, 0);
-    registry.recordHeldModel('n@1000', 'big');
+    registry.recordLoadedModel('n@1000', 'big');
 
     expect(register(2_000, 9, 500)).toBe(true);
 
--- a/test/control/rate_limit_sharing.test.ts
+++ b/test/control/rate_limit_sharing.test.ts
@@ -198,7 +198,7 @@
         const verdict = {pauseMs: 0, intervalMs: 0};
         return Promise.resolve({kind: 'granted', ...verdict});
       },
-      onNews: () => undefined,
+      reportNow: () => undefined,
     });
     limits.record(BACKEND, 5, -1);
 
--- a/test/simulation/virtual_machine.ts
+++ b/test/simulation/virtual_machine.ts
@@ -192,7 +192,7 @@
     const member = QuorumMember.create({
       settings,
       disk,
-      links,
+      connections: links,
       clock,
       leaseClock,
       timers,
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -65,7 +65,7 @@
     random: () => 0,
     reportLeaving: () => Promise.resolve(),
     askPermit: () => this.answerPermit(),
-    onNews: () => undefined,
+    reportNow: () => undefined,
   });
   readonly board = LoadBalancer.create(
     'z',
@@ -194,7 +194,7 @@
         maxConnections: 4,
         arrivedAt,
         response: ResponseWriter.create(response, 'request-id', () => false),
-        origins: this.origins,
+        clientPool: this.origins,
         balancer: this.board,
         budget: RetryBudget.create(
           {ratio: 1, windowMs: 10_000, slack: 100},
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -58,7 +58,7 @@
       leaseClock: crowd.time,
       events: EventRing.create(),
       askPermit: limit => crowd.askPermit(this, limit),
-      onNews: () => crowd.exchange(this),
+      reportNow: () => crowd.exchange(this),
     });
     return this.limits;
   }
