--- a/src/control/backend_registry.ts
+++ b/src/control/backend_registry.ts
@@ -80,7 +80,7 @@
       registration,
       seenAt: now,
       firstSeenAt: known?.firstSeenAt ?? now,
-      loadedModel: findHeldModel(registration, known),
+      loadedModel: findLoadedModel(registration, known),
     });
     if (!known) {
       this.dropPredecessors(registration);
@@ -261,7 +261,7 @@
 }
 
 /** The model in an engine's memory; unknown while it joins a group, which may replace the model. */
-function findHeldModel(
+function findLoadedModel(
   {model, group}: BackendRegistration,
   known: BackendView | undefined,
 ): string | undefined {
--- a/src/control/gateway_service.ts
+++ b/src/control/gateway_service.ts
@@ -101,7 +101,7 @@
     return this.hasServedRequests;
   }
 
-  /** True if a gateway reported lately that this backend server stopped sending. */
+  /** True if a gateway reported recently that this backend server stopped sending. */
   isReportedStalled(incarnation: string): boolean {
     return this.isRecent(this.stalledAt.get(incarnation));
   }
@@ -111,7 +111,7 @@
     return this.lastActivityAt.get(incarnation) ?? -Infinity;
   }
 
-  /** True if a gateway lately refused requests because no slot of this model was free. */
+  /** True if a gateway recently refused requests because no slot of this model was free. */
   isSaturated(model: string): boolean {
     return this.isRecent(this.saturatedAt.get(model));
   }
--- a/src/control/host_group_planner_loop.ts
+++ b/src/control/host_group_planner_loop.ts
@@ -6,7 +6,7 @@
 import {RaftRuntime} from './raft_runtime';
 
 const PLAN_EVERY_MS = 100;
-/** A new leader first collects reports, so that it doesn't take hosts it hasn't heard yet for lost. */
+/** A new leader first collects reports, so that it doesn't take hosts it hasn't heard from yet for lost. */
 const INITIAL_LISTEN_MS = 2_000;
 
 /** Dependencies of the loop. */
--- a/src/control/rate_limit_service.ts
+++ b/src/control/rate_limit_service.ts
@@ -11,7 +11,7 @@
 import {BackendRegistry} from './backend_registry';
 import {RaftRuntime} from './raft_runtime';
 
-/** Changes that are kept; a gateway that missed more gets the whole table. */
+/** Changes that are kept; a gateway that missed more gets the full table. */
 const MAX_CHANGES = 1_024;
 /** Interval between removals of expired limits. */
 const EXPIRY_INTERVAL_MS = 1_000;
@@ -65,7 +65,7 @@
     return `${this.options.leaderName}/${this.term}/${this.changeCount}`;
   }
 
-  /** The changes since the version with this tag, or the whole table if they aren't known. */
+  /** The changes since the version with this tag, or the full table if they aren't known. */
   listChangesSince(tag: string): LimitWord[] {
     const now = this.options.clock.now();
     const prefix = this.readTag().slice(0, -String(this.changeCount).length);
--- a/src/control/registration_service.ts
+++ b/src/control/registration_service.ts
@@ -11,7 +11,7 @@
 import {ControlSettings} from './control_settings';
 import {RaftRuntime} from './raft_runtime';
 
-/** A new leader has heard every live backend server after this many registration intervals. */
+/** A new leader has heard from every live backend server after this many registration intervals. */
 const LISTEN_INTERVALS = 2;
 /** Used where the interval of registrations isn't configured. */
 const DEFAULT_HEARTBEAT_MS = 1_000;
--- a/src/control/target_table.ts
+++ b/src/control/target_table.ts
@@ -9,7 +9,7 @@
 import {RaftRuntime} from './raft_runtime';
 
 /**
- * Changes that are kept; a gateway that missed more gets the whole table. The loss of a
+ * Changes that are kept; a gateway that missed more gets the full table. The loss of a
  * fabric domain with 37 hosts makes fewer than 100.
  */
 const MAX_CHANGES = 1_024;
@@ -21,14 +21,14 @@
   | {readonly kind: 'target'; readonly target: GatewayTarget}
   | {readonly kind: 'closed' | 'retired'; readonly incarnation: string};
 
-/** The whole table or changes to it. */
+/** The full table or changes to it. */
 interface TableUpdate {
   readonly targets: GatewayTarget[];
   /** Incarnations that currently serve nothing. */
   readonly closed: string[];
   /** Incarnations, or names, of backend servers that take no new work. */
   readonly retired: string[];
-  /** True for the whole table, false for changes to it. */
+  /** True for the full table, false for changes to it. */
   readonly isWholeTable: boolean;
 }
 
@@ -72,12 +72,12 @@
     return `${this.sequenceId}/${this.changeCount}`;
   }
 
-  /** False while a new leader may not have heard every live backend server yet. */
+  /** False while a new leader may not have heard from every live backend server yet. */
   isComplete(now: number): boolean {
     return now - this.options.runtime.leadingSince > COMPLETE_AFTER_MS;
   }
 
-  /** The changes since the version with this tag, or the whole table if they aren't known. */
+  /** The changes since the version with this tag, or the full table if they aren't known. */
   listChangesSince(tag: string, now: number): TableUpdate {
     this.refresh(now);
     const at = tag.lastIndexOf('/');
@@ -192,9 +192,9 @@
   }
 
   /**
-   * Targets for the heads of committed groups that a new leader hasn't heard yet. If all
-   * processes were killed, gateways start without any target and would otherwise wait
-   * about one registration interval. A head that no longer serves refuses requests.
+   * Targets for the heads of committed groups that a new leader hasn't heard from yet. If
+   * all processes were killed, gateways start without any target and would otherwise
+   * wait about one registration interval. A head that no longer serves refuses requests.
    */
   private listUnregisteredHeads(
     views: readonly BackendView[],
--- a/src/coordination/groups/compute_quarantine_ms.ts
+++ b/src/coordination/groups/compute_quarantine_ms.ts
@@ -3,7 +3,7 @@
 const MAX_QUARANTINE_MS = 10 * 60_000;
 
 /**
- * How long a host stays out of new groups after it was lost this often lately.
+ * How long a host stays out of new groups after it was lost this often recently.
  *
  * @returns milliseconds since its last loss; 0 for a host that was lost once at most
  * @example
--- a/src/coordination/groups/engine_plan_input.ts
+++ b/src/coordination/groups/engine_plan_input.ts
@@ -18,7 +18,7 @@
   readonly now: number;
   /** Time without a heartbeat after which a backend server joins no new group. */
   readonly silentAfterMs: number;
-  /** A new leader is in its grace period: members that it has not heard yet do not count as lost. */
+  /** A new leader is in its grace period: members that it has not heard from yet do not count as lost. */
   readonly isInGracePeriod: boolean;
   /** False for a while after hosts were reassigned, so that they do not oscillate. */
   readonly mayRebalance: boolean;
@@ -28,7 +28,7 @@
   readonly findLoadingModel: (incarnation: string) => string | undefined;
   /** Model whose share was just raised; groups of other models are ended for it. */
   readonly recipientModel?: string;
-  /** The model is overloaded: its requests are refused for lack of free slots. */
+  /** The model is saturated: its requests are refused for lack of free slots. */
   readonly isSaturated: (model: string) => boolean;
   /** The backend server is draining or has announced that it stops. */
   readonly isRetired: (incarnation: string) => boolean;
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -271,7 +271,7 @@
 
 /**
  * Returns how many hosts of a domain must stay spare. Without a load, repairs of a
- * model below its desired groups may use every spare, and overloaded models all but
+ * model below its desired groups may use every spare, and saturated models all but
  * one; otherwise no spare may be used.
  */
 function countSpares(
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -27,7 +27,7 @@
  * Plans which groups to end so that their hosts and the free ones of their domain can
  * form a group of another model without a load. Donors are models with more groups
  * than desired if the other model's share was just raised, and models with more hosts
- * relative to their share of the load if the other model is overloaded.
+ * relative to their share of the load if the other model is saturated.
  *
  * @example
  * const actions = planRebalance(input);
@@ -158,7 +158,7 @@
   ).length;
 }
 
-/** Checks whether a group's model has more groups than desired, or less need than an overloaded model. */
+/** Checks whether a group's model has more groups than desired, or less need than an saturated model. */
 function canDonate(
   group: EngineGroup,
   donors: readonly EngineGroup[],
--- a/src/coordination/requests/bundle_lease.ts
+++ b/src/coordination/requests/bundle_lease.ts
@@ -1,4 +1,4 @@
-/** A lease under which a process may accept new work; each response from control renews it. */
+/** A lease under which a process may accept new work; each response from the control plane renews it. */
 export class BundleLease {
   private expiresAt = -Infinity;
 
@@ -25,7 +25,7 @@
     this.expiresAt = Math.max(this.expiresAt, requestedAt + leaseMs);
   }
 
-  /** Whether control confirmed the bundle recently enough. */
+  /** Whether the control plane confirmed the bundle recently enough. */
   isHeld(now: number): boolean {
     return now < this.expiresAt;
   }
--- a/src/coordination/requests/check_dispatch.ts
+++ b/src/coordination/requests/check_dispatch.ts
@@ -11,7 +11,7 @@
   readonly group: Group | undefined;
   /** Group members without a recent heartbeat. */
   readonly missingMembers: readonly string[];
-  /** Whether control confirmed the bundle recently enough. */
+  /** Whether the control plane confirmed the bundle recently enough. */
   readonly hasBundleLease: boolean;
   readonly hasBackend: boolean;
   readonly isLeaving: boolean;
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -77,7 +77,7 @@
     return !this.isSent && !this.isEnded;
   }
 
-  /** True while it waits for a connection to a backend server that control no longer lists or that accepts nothing now. */
+  /** True while it waits for a connection to a backend server that the control plane no longer lists or that accepts nothing now. */
   get isTargetUnavailable(): boolean {
     const {balancer, target} = this.options;
     const isOpen = balancer.has(target.incarnation) && this.maySend;
--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -34,7 +34,7 @@
   readonly leaseClock: Clock;
   readonly events: EventRing;
   readonly askPermit: (limit: LimitWord) => Promise<PermitVerdict>;
-  /** Called when the control plane should be told of a limit at once. */
+  /** Called when the control plane should be notified of a limit at once. */
   readonly reportNow: () => void;
 }
 
@@ -149,7 +149,7 @@
 
   /**
    * Describes what the control plane should know: the version of the table held
-   * here, and the limits that its leader was not told.
+   * here, and the limits that were not reported to its leader.
    */
   describeChanges(): {limitsTag: string; limits: LimitWord[]} {
     const limited = this.limits.list();
--- a/src/gateway/control_poller.ts
+++ b/src/gateway/control_poller.ts
@@ -11,21 +11,21 @@
 import {BackendRateLimits} from './backend_rate_limits';
 import {RouteIndex} from './route_index';
 
-/** Longer than control delays the answer to a poll without an update. */
+/** Longer than the control plane delays the answer to a poll without an update. */
 const POLL_TIMEOUT_MS = 2_500;
 /** Pause between a failed poll and the next one. */
 const RETRY_DELAY_MS = 50;
 
 type PollAnswer = MessageOf<ControlMessage, 'gateway-answer'>;
 
-/** What the gateway reports to control with each poll. */
+/** What the gateway reports to the control plane with each poll. */
 interface GatewayReport {
   readonly stalled: readonly string[];
   readonly answering: readonly string[];
   /** Milliseconds since data was last received from each of `answering`, in the same order. */
   readonly answeringMsAgo: readonly number[];
   readonly running: Readonly<Record<string, number>>;
-  /** Models whose requests were refused lately because no slot was free. */
+  /** Models whose requests were refused recently because no slot was free. */
   readonly saturatedModels: readonly string[];
   readonly hasServed: boolean;
   /** Demand of callers, by model. */
@@ -57,7 +57,7 @@
   readonly onControl: (addresses: readonly string[]) => void;
 }
 
-/** Polls control until it is closed. */
+/** Polls the control plane until it is closed. */
 export class ControlPoller {
   private currentIndex: RouteIndex | undefined;
   private targets = new Map<string, GatewayTarget>();
@@ -92,7 +92,7 @@
     return this.knownGatewayCount;
   }
 
-  /** True if control confirmed the rules recently enough to serve requests by them. */
+  /** True if the control plane confirmed the rules recently enough to serve requests by them. */
   isConfirmed(): boolean {
     const {clock, confirmationMs} = this.options;
     return clock.now() - this.confirmedAt < confirmationMs;
@@ -111,7 +111,7 @@
     return this.options.clock.now() - this.confirmedAt;
   }
 
-  /** Reports to control at once, in parallel to the poll that control holds. */
+  /** Reports to the control plane at once, in parallel to the poll that the control plane holds. */
   reportNow(): void {
     if (this.isReporting || this.isClosed) {
       return;
@@ -238,7 +238,7 @@
   }
 
   private recordConnection(isConnected: boolean, reason: string): void {
-    // Closing the poller ends its own connection, which says nothing about control.
+    // Closing the poller ends its own connection, which says nothing about the control plane.
     if (this.isConnected === isConnected || this.isClosed) {
       return;
     }
--- a/src/gateway/create_backend_signals.ts
+++ b/src/gateway/create_backend_signals.ts
@@ -10,7 +10,7 @@
   readonly gatewayId: string;
   readonly client: Pick<ControlClient, 'ask'>;
   readonly events: EventRing;
-  /** Called when the control plane should be told of a change at once. */
+  /** Called when the control plane should be notified of a change at once. */
   readonly reportNow: () => void;
 }
 
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -44,7 +44,7 @@
 /** After this time without an answer, another control process is tried. */
 const CONTROL_TIMEOUT_MS = 1_000;
 
-/** A running gateway: it follows control and proxies the requests of callers. */
+/** A running gateway: it polls the control plane and proxies the requests of callers. */
 export class GatewayServer {
   /** Recorded events; the newest are kept in memory. */
   readonly events = EventRing.create();
@@ -168,7 +168,7 @@
   }
 
   /**
-   * Starts to poll control and to listen for callers.
+   * Starts to poll the control plane and to listen for callers.
    *
    * @throws TransportError when the address cannot be bound
    * @example
@@ -197,7 +197,7 @@
     return !this.shutdown.hasBegun && this.poller.isConfirmed() && hasTargets;
   }
 
-  /** Updates the seed addresses of control after the settings changed. */
+  /** Updates the seed addresses of the control plane after the settings changed. */
   setControl(addresses: readonly string[]): void {
     this.seeds = addresses;
     this.controlAddresses = [
--- a/src/gateway/gateway_settings.ts
+++ b/src/gateway/gateway_settings.ts
@@ -10,7 +10,7 @@
   /** Initial addresses of control processes. */
   readonly control: readonly string[];
   readonly dialect: HttpDialect;
-  /** How long requests are served after control confirmed the rules, in milliseconds. */
+  /** How long requests are served after the control plane confirmed the rules, in milliseconds. */
   readonly confirmationMs: number;
   /** Time within which a change of rules is in force at every gateway, in milliseconds. Permanent refusals need rules confirmed more recently. */
   readonly changesWithinMs: number;
--- a/src/gateway/response_head.ts
+++ b/src/gateway/response_head.ts
@@ -20,7 +20,7 @@
   readonly isEventStream: boolean;
   /** Requests per second that the backend server accepts from all gateways together. */
   readonly limitPerSecond?: number;
-  /** How long this gateway should send nothing more, as told by a backend server that refused the request. */
+  /** How long this gateway should send nothing more, as announced by a backend server that refused the request. */
   readonly restMs?: number;
   /** The backend server announces that it is shutting down. */
   readonly isLeaving?: boolean;
--- a/src/gateway/saturated_models.ts
+++ b/src/gateway/saturated_models.ts
@@ -20,7 +20,7 @@
     return new SaturatedModels(clock);
   }
 
-  /** Records a refusal; true if the control plane should be told at once. */
+  /** Records a refusal; true if the control plane should be notified at once. */
   record(model: string): boolean {
     const now = this.clock.now();
     const isNewlySaturated =
--- a/src/gateway/slot_forecast.ts
+++ b/src/gateway/slot_forecast.ts
@@ -46,7 +46,7 @@
    * Creates a forecast without measurements.
    *
    * @example
-   * const forecast = PlaceForecast.create(clock);
+   * const forecast = SlotForecast.create(clock);
    */
   static create(clock: Clock): SlotForecast {
     return new SlotForecast(clock);
--- a/src/gateway/slot_wait.ts
+++ b/src/gateway/slot_wait.ts
@@ -30,9 +30,9 @@
   /** Longest gap between events that the caller tolerates, in milliseconds. */
   readonly maxPauseMs: number;
   /**
-   * Reserves the next opening at backend servers that are rate limited or back
-   * off: the delay in milliseconds, and whether no other backend server is
-   * left. The caller counts as told to retry then.
+   * Reserves the next free time of the backend servers that are rate limited or
+   * back off for the caller, which is told to retry then. Returns the delay in
+   * milliseconds, and whether no other backend server is left.
    */
   readonly reserveRetry: () => {
     readonly inMs: number;
--- a/test/control/voter_connections.test.ts
+++ b/test/control/voter_connections.test.ts
@@ -12,9 +12,9 @@
 // grew from three seeds to five voters; then all lost power and two seeds lost their
 // disks, which the quorum must tolerate. Restarted processes connected to the seeds
 // only, although their logs name every voter, and the remaining seed reported only the
-// founders, since it did not rely on its log without a leader. Only the two voters that
-// are no seeds had the newest acknowledged entry and could become leader, but they
-// never connected to each other, so no leader was elected.
+// initial voters, since it did not rely on its log without a leader. Only the two
+// voters that are no seeds had the newest acknowledged entry and could become leader,
+// but they never connected to each other, so no leader was elected.
 
 const closers: Array<() => unknown> = [];
 
@@ -42,12 +42,12 @@
 /** Writes the disk content of a voter at the time of the power loss. */
 async function writeDisk(
   {folder, name}: Machine,
-  founders: readonly Machine[],
+  initialVoters: readonly Machine[],
   records: readonly LogRecord[],
 ): Promise<void> {
   const disk = await ControlDisk.create(folder, name);
   const voters = Object.fromEntries(
-    founders.map(founder => [founder.name, founder.identity]),
+    initialVoters.map(voter => [voter.name, voter.identity]),
   );
   const state = new Uint8Array();
   await disk.snapshots.save({index: 0, term: 0, voters, state});
@@ -95,14 +95,14 @@
     const [a, b, c, d, e] = await Promise.all(
       [1, 2, 3, 4, 5].map(() => createMachine()),
     );
-    const founders = [a, b, c];
+    const initialVoters = [a, b, c];
     const growth = [addVoter(1, d), addVoter(2, e)];
     const commit = {type: 'commit' as const, index: 2};
-    await writeDisk(c, founders, [...growth, commit]);
-    await writeDisk(d, founders, [...growth, commit, addEntry(3)]);
-    await writeDisk(e, founders, [...growth, commit, addEntry(3)]);
+    await writeDisk(c, initialVoters, [...growth, commit]);
+    await writeDisk(d, initialVoters, [...growth, commit, addEntry(3)]);
+    await writeDisk(e, initialVoters, [...growth, commit, addEntry(3)]);
     const survivors = await Promise.all(
-      [c, d, e].map(machine => start(machine, founders)),
+      [c, d, e].map(machine => start(machine, initialVoters)),
     );
 
     await waitUntil(
@@ -117,18 +117,18 @@
     const [a, b, c, d, e] = await Promise.all(
       [1, 2, 3, 4, 5].map(() => createMachine()),
     );
-    const founders = [a, b, c];
+    const initialVoters = [a, b, c];
     const growth = [addVoter(1, d), addVoter(2, e)];
     const commit = {type: 'commit' as const, index: 2};
-    await writeDisk(c, founders, [...growth, commit]);
-    await writeDisk(d, founders, [...growth, commit, addEntry(3)]);
-    await writeDisk(e, founders, [...growth, commit, addEntry(3)]);
+    await writeDisk(c, initialVoters, [...growth, commit]);
+    await writeDisk(d, initialVoters, [...growth, commit, addEntry(3)]);
+    await writeDisk(e, initialVoters, [...growth, commit, addEntry(3)]);
     const wiped = [a, b].map(machine => ({
       ...machine,
       folder: mkdtempSync(path.join(tmpdir(), 'whinreel-wiped-')),
     }));
     const controls = await Promise.all(
-      [...wiped, c, d, e].map(machine => start(machine, founders)),
+      [...wiped, c, d, e].map(machine => start(machine, initialVoters)),
     );
 
     await waitUntil(
--- a/test/coordination/raft_voters.test.ts
+++ b/test/coordination/raft_voters.test.ts
@@ -5,7 +5,7 @@
 import {LogEntry} from '../../src/protocol/log_entry';
 
 const TIMING = {heartbeatMs: 50, electionMs: 300, leaseMs: 225};
-const FOUNDERS = ['a', 'b', 'c'];
+const INITIAL_VOTERS = ['a', 'b', 'c'];
 
 function setVoter(index: number, name: string, replaces?: string): LogEntry {
   const command = {
@@ -19,8 +19,8 @@
 }
 
 /** Creates a restarted node of a quorum that grew from three voters to five. */
-function createRestartedNode(knownCommitted: number | undefined): RaftNode {
-  const voters = new Map(FOUNDERS.map(name => [name, `${name}/1`]));
+function createRestartedNode(knownCommitIndex: number | undefined): RaftNode {
+  const voters = new Map(INITIAL_VOTERS.map(name => [name, `${name}/1`]));
   const entries = [setVoter(1, 'd'), setVoter(2, 'e')];
   return RaftNode.create({
     identity: 'a/1',
@@ -28,7 +28,7 @@
     term: 1,
     votedFor: undefined,
     commitIndex: 0,
-    knownCommitIndex: knownCommitted,
+    knownCommitIndex,
     timing: TIMING,
     random: () => 0,
     readSnapshot: () => new Uint8Array(),
@@ -53,18 +53,18 @@
 }
 
 describe('a quorum that grew from three voters to five', () => {
-  test('elects a leader with three of five voters after two founders lost their disks', () => {
+  test('elects a leader with three of five voters after two initial voters lost their disks', () => {
     expect(elect(createRestartedNode(2), ['d/1', 'e/1'])).toBe('leader');
   });
 
-  test('still needs a majority of the founders while the new voters may not be committed', () => {
+  test('still needs a majority of the initial voters while the new voters may not be committed', () => {
     expect(elect(createRestartedNode(undefined), ['d/1', 'e/1'])).toBe(
       'pre-candidate',
     );
   });
 
   test('replaces one voter by another in a single step', () => {
-    const voters = new Map(FOUNDERS.map(name => [name, `${name}/1`]));
+    const voters = new Map(INITIAL_VOTERS.map(name => [name, `${name}/1`]));
     const log = RaftLog.create({index: 0, term: 0, voters}, [
       setVoter(1, 'd', 'b'),
     ]);
--- a/test/gateway/compute_retry_after_ms.test.ts
+++ b/test/gateway/compute_retry_after_ms.test.ts
@@ -1,6 +1,6 @@
 /**
  * Guards against retries that arrive together: after the loss of a group,
- * refused callers were all told the same fixed delay, so they came back at the
+ * refused callers all got the same fixed delay, so they came back at the
  * same time and while the load was as high as before.
  */
 import {expect, test} from 'vitest';
--- a/test/gateway/frozen_gateway.test.ts
+++ b/test/gateway/frozen_gateway.test.ts
@@ -1,9 +1,9 @@
 /**
  * Guards against a gateway that blames its backend servers for its own pause. After a
  * freeze of 1.0 s a gateway refused every request with "no backend server can take it
- * now" for 3.0 s, and reported all backend servers to control as stalled, while other
- * gateways were served by them. Timers fire before received data is read, so the check
- * for stalls saw the process's own pause in every resumable stream.
+ * now" for 3.0 s, and reported all backend servers to the control plane as stalled,
+ * while other gateways were served by them. Timers fire before received data is read,
+ * so the check for stalls saw the process's own pause in every resumable stream.
  */
 import {afterEach, expect, test} from 'vitest';
 import {streamSteadily} from '../support/backend_scripts';
--- a/test/gateway/stale_rules.test.ts
+++ b/test/gateway/stale_rules.test.ts
@@ -1,8 +1,9 @@
 /**
  * Guards against a 404 for a route that was added and confirmed while a gateway had
- * lost contact with control. Gateways serve by their rules for 4.25 s after the last
- * confirmation, but a confirmed change may take only 2 s to be in force everywhere; a
- * gateway answered 404 by an older version 2.2 s after the change was confirmed.
+ * lost contact with the control plane. Gateways serve by their rules for 4.25 s after
+ * the last confirmation, but a confirmed change may take only 2 s to be in force
+ * everywhere; a gateway answered 404 by an older version 2.2 s after the change was
+ * confirmed.
  * Serving a known route only requires rules younger than the time in which a key may
  * be revoked; denying that a route or key exists requires current rules.
  */
@@ -21,7 +22,7 @@
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: 8_000,
-    // Above the 0.5 s for which control holds a poll, the usual age of a confirmation.
+    // Above the 0.5 s for which the control plane holds a poll, the usual age of a confirmation.
     changesWithinMs: 1_500,
     route: {},
     handle: streamSteadily(2, 10),
--- a/test/gateway/suspended_gateway.test.ts
+++ b/test/gateway/suspended_gateway.test.ts
@@ -1,8 +1,8 @@
 /**
  * Guards against serving by outdated rules after the machine was suspended, during
- * which its monotonic clock stands still. A gateway that had lost contact with control
- * and was suspended for 5 s still served by rules confirmed 5.1 s before, since its
- * clock showed 0.1 s. It would have accepted a key that was revoked meanwhile.
+ * which its monotonic clock stands still. A gateway that had lost contact with the
+ * control plane and was suspended for 5 s still served by rules confirmed 5.1 s before,
+ * since its clock showed 0.1 s. It would have accepted a key that was revoked meanwhile.
  */
 import {afterEach, expect, test} from 'vitest';
 import {streamSteadily} from '../support/backend_scripts';
