--- a/src/control/control_event_log.ts
+++ b/src/control/control_event_log.ts
@@ -17,14 +17,14 @@
 
 /** Records events with the identity of one control process. */
 export class ControlEventLog {
-  private readonly throttledLines: ThrottledLines;
+  private readonly throttledEventLog: ThrottledLines;
 
   private constructor(
     private readonly identity: string,
     private readonly events: EventRing,
     clock: Clock,
   ) {
-    this.throttledLines = ThrottledLines.create(events, clock);
+    this.throttledEventLog = ThrottledLines.create(events, clock);
   }
 
   /**
@@ -71,7 +71,7 @@
    * only learns that this process is not the leader.
    */
   recordRefusedCall({ask, reason, voters, raft}: RefusedCall): void {
-    this.throttledLines.record(`${ask} ${reason}`, {
+    this.throttledEventLog.record(`${ask} ${reason}`, {
       type: 'call-not-carried-out',
       subject: 'control',
       id: this.identity,
@@ -92,7 +92,7 @@
       return;
     }
     const {term, isPreVote, refusal = ''} = message;
-    this.throttledLines.record(`vote ${from} ${refusal}`, {
+    this.throttledEventLog.record(`vote ${from} ${refusal}`, {
       type: 'vote-refused',
       subject: 'control',
       id: this.identity,
@@ -103,7 +103,7 @@
 
   /** Records a failure to handle a message; its sender only sees the connection close. */
   recordMessageFailure(from: string, error: Error): void {
-    this.throttledLines.record('message', {
+    this.throttledEventLog.record('message', {
       type: 'message-failed',
       subject: 'control',
       id: this.identity,
--- a/src/control/engine_group_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -245,7 +245,7 @@
       events.record({type, subject: 'group', id, reason, details});
     }
     const proposals = commands.map(command => runtime.propose(command));
-    // The next plan repeats a failed change; losing leadership is recorded elsewhere.
+    // The next plan retries a failed change; losing leadership is recorded elsewhere.
     await Promise.all(proposals).catch(() => undefined);
   }
 }
--- a/src/control/order_dispatcher.ts
+++ b/src/control/order_dispatcher.ts
@@ -13,7 +13,7 @@
 
 /**
  * Time by outcome until the same order is sent again. The effect of an accepted order
- * shows in the engine's registrations; the order is repeated if it doesn't.
+ * shows in the engine's registrations; the order is sent again if it doesn't.
  */
 const RETRY_MS = {
   begun: 3_000,
--- a/src/control/target_table.ts
+++ b/src/control/target_table.ts
@@ -84,12 +84,12 @@
     const missed = this.changeCount - Number(tag.slice(at + 1));
     const isSameSequence = tag.slice(0, at) === this.sequenceId;
     if (!isSameSequence || !(missed >= 0 && missed <= this.changes.length)) {
-      return this.describeWhole();
+      return this.describeFullTable();
     }
     return mergeChanges(missed === 0 ? [] : this.changes.slice(-missed));
   }
 
-  private describeWhole(): TableUpdate {
+  private describeFullTable(): TableUpdate {
     const entries = [...this.current];
     return {
       targets: entries.flatMap(([, target]) => target ?? []),
--- a/src/gateway/create_stall_thresholds.ts
+++ b/src/gateway/create_stall_thresholds.ts
@@ -32,7 +32,7 @@
   const promptMs = (promptTokens / tokensPerSecond) * MS_PER_SECOND;
   return {
     stallMs: computeStallTimeoutMs(pool.engine, model),
-    findUsualStartMs: () =>
+    findExpectedStartMs: () =>
       (forecast.findAverageFirstEventMs(work) || route.objectiveMs) + promptMs,
     findLongestStartMs: () => forecast.findLongestFirstEventMs(work) + promptMs,
   };
--- a/src/gateway/stall_detector.ts
+++ b/src/gateway/stall_detector.ts
@@ -6,7 +6,7 @@
 import {LoadBalancer} from './load_balancer';
 
 /**
- * A silent backend server may take this many times the usual time to start a
+ * A silent backend server may take this many times the expected time to start a
  * response.
  */
 const START_FACTOR = 2;
@@ -21,10 +21,10 @@
   /** The longest pause of a healthy stream. */
   readonly stallMs: number;
   /**
-   * Returns the usual time to the start of a response, or the objective without
+   * Returns the expected time to the start of a response, or the objective without
    * samples.
    */
-  readonly findUsualStartMs: () => number;
+  readonly findExpectedStartMs: () => number;
   /** Returns the longest recent time to the start of a response. */
   readonly findLongestStartMs: () => number;
 }
@@ -40,7 +40,7 @@
    * Creates a detector for one request.
    *
    * @example
-   * const stall = StallDetector.create(balancer, {stallMs: 150, findUsualStartMs: () => 200, findLongestStartMs: () => 400});
+   * const stall = StallDetector.create(balancer, {stallMs: 150, findExpectedStartMs: () => 200, findLongestStartMs: () => 400});
    */
   static create(
     balancer: LoadBalancer,
@@ -71,7 +71,7 @@
    * Detects what has stalled. A stream that pauses for longer than an engine
    * step can take, while its backend server sends nothing on other streams
    * either, has stalled. Before the first event the request may be queued, so
-   * twice the usual start time must pass without any bytes. If other streams
+   * twice the expected start time must pass without any bytes. If other streams
    * from there continue, the engine may have preempted the request, which takes
    * as long as a start; after a much longer pause its connection is considered
    * dead.
@@ -83,11 +83,11 @@
     now: number,
   ): 'target' | 'connection' | undefined {
     const {balancer} = this;
-    const {stallMs, findUsualStartMs, findLongestStartMs} = this.thresholds;
+    const {stallMs, findExpectedStartMs, findLongestStartMs} = this.thresholds;
     const {incarnation} = attempt.target;
     const quietMs = now - attempt.quietSince;
     const isEventDue = attempt.hasStarted || balancer.isStalled(incarnation);
-    const startMs = Math.max(stallMs, findUsualStartMs() * START_FACTOR);
+    const startMs = Math.max(stallMs, findExpectedStartMs() * START_FACTOR);
     const isTargetSilent =
       now - balancer.findLastActivityAt(incarnation) > stallMs;
     if (isTargetSilent && quietMs > (isEventDue ? stallMs : startMs)) {
--- a/test/control/repeated_bundle.test.ts
+++ b/test/control/repeated_bundle.test.ts
@@ -1,5 +1,5 @@
 /**
- * A client that changes the rules repeats its call, to any control process, until it gets an
+ * A client that changes the rules retries its call at any control process, until it gets an
  * answer. The leader appended the bundle to its log for each call: a change that took longer
  * than the timeout of a call was proposals and replicated again and again, which slowed down
  * the following calls even more.
--- a/test/gateway/crash_containment_simulation.test.ts
+++ b/test/gateway/crash_containment_simulation.test.ts
@@ -1,6 +1,6 @@
 /**
- * Simulates requests that crash backend servers and are repeated at every
- * gateway, beside healthy requests and unrelated losses.
+ * Simulates requests that crash backend servers and are retried at every
+ * gateway, along with healthy requests and unrelated losses.
  */
 import {describe, expect, test} from 'vitest';
 import {CrashFleetOptions} from '../support/crash_fleet_options';
@@ -85,8 +85,8 @@
 
 describe('losses that are not caused by a request', () => {
   test.each([
-    ['a wave', [{at: 3_000, count: 4}]],
-    ['a series', SERIES],
+    ['correlated losses', [{at: 3_000, count: 4}]],
+    ['a series of losses', SERIES],
     ['all at once', [{at: 3_000, count: 9}]],
   ])('%s: no request is refused', async (_name, losses) => {
     expect((await play({marked: 0, losses})).refused).toEqual(NONE);
--- a/test/gateway/crashing_request.test.ts
+++ b/test/gateway/crashing_request.test.ts
@@ -1,10 +1,10 @@
 /**
  * Guards against a request that crashes each backend server which begins to run
- * it, and that its caller repeats under new ids at one gateway after the other.
+ * it, and that its caller retries under new ids at one gateway after the other.
  * Fifteen groups were lost to one such request and thirteen to another within
- * half a minute, and healthy streams beside them broke up to three times each.
+ * half a minute, and healthy concurrent streams broke up to three times each.
  * No single attempt did too much: each gateway knew the targets tried only for
- * its own attempt and forgot them with the final response, so each repeat
+ * its own attempt and forgot them with the final response, so each retry
  * counted as a new request.
  */
 import {afterEach, expect, test} from 'vitest';
@@ -59,7 +59,7 @@
   return {bodies, stop: () => clearInterval(timer)};
 }
 
-/** Repeats a request while it is refused as not run. */
+/** Retries a request while it is refused as not run. */
 async function callUntilServed(fleet: GatewayFleet, at: number, body: string) {
   const {status} = await waitUntil(body, async () => {
     const view = await fleet.call(at % GATEWAYS, `a${at}`, false, 'h', body);
@@ -68,7 +68,7 @@
   return status;
 }
 
-test('a request that crashes backend servers is stopped, at whichever gateway its caller repeats it', async () => {
+test('a request that crashes backend servers is stopped, at whichever gateway its caller retries it', async () => {
   const {slots, fleet} = await start();
   const healthy = startHealthy(fleet);
   const views = [];
@@ -91,7 +91,7 @@
   expect(last.body).toContain('end');
 });
 
-test('requests that ran at the same time are served when their callers repeat them', async () => {
+test('requests that ran at the same time are served when their callers retry them', async () => {
   const {slots, fleet} = await start();
   const healthy = startHealthy(fleet);
   await waitUntil('healthy requests', () => healthy.bodies.length > 10);
--- a/test/gateway/decisions.test.ts
+++ b/test/gateway/decisions.test.ts
@@ -111,7 +111,7 @@
     } as unknown as Attempt;
     const times = {
       stallMs: 100,
-      findUsualStartMs: () => 150,
+      findExpectedStartMs: () => 150,
       findLongestStartMs: () => 320,
     };
     return StallDetector.create(balancer, times).detectStall(
--- a/test/gateway/stale_rules.test.ts
+++ b/test/gateway/stale_rules.test.ts
@@ -22,7 +22,7 @@
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: 8_000,
-    // Above the 0.5 s for which the control plane holds a poll, the usual age of a confirmation.
+    // Above the 0.5 s for which the control plane holds a poll, the typical age of a confirmation.
     changesWithinMs: 1_500,
     route: {},
     handle: streamSteadily(2, 10),
