--- a/src/control/engine_group_planner_loop.ts
+++ b/src/control/engine_group_planner_loop.ts
@@ -136,21 +136,22 @@
       profile: pool.engine,
       groups,
       backends,
-      isFirstStart: groups.length === 0 && backends.every(hasNoWeights),
+      isColdStart: groups.length === 0 && backends.every(hasNoWeights),
       now,
       silentAfterMs: poolSettings.heartbeatMs * SILENT_INTERVALS,
-      isStillListening:
+      isInGracePeriod:
         now - runtime.leadingSince <
         poolSettings.heartbeatMs * SILENT_INTERVALS,
       isRetired: (incarnation: string) => engines.isRetired(incarnation),
       mayRebalance: now - this.rebalancedAt > REBALANCE_INTERVAL_MS,
       epoch: runtime.raft.commitIndex,
-      findLoading: (incarnation: string) =>
+      findLoadingModel: (incarnation: string) =>
         this.orders.findLoadingModel(incarnation),
-      isPressed: (model: string) => gateways.isSaturated(model),
+      isSaturated: (model: string) => gateways.isSaturated(model),
       isLost: (incarnation: string) => this.health.isLost(incarnation),
-      isLetGo: (group: EngineGroup) => this.headStops.isHeadStopped(group, now),
-      hasLeaver: (group: EngineGroup) =>
+      isHeadStopped: (group: EngineGroup) =>
+        this.headStops.isHeadStopped(group, now),
+      hasDepartedMember: (group: EngineGroup) =>
         this.headStops.hasDepartedMember(group),
     };
     const actions = planEngineGroups(this.applyDemand(input, domains));
@@ -167,16 +168,16 @@
 
   /** Completes the input of a plan with model shares adjusted to the demand. */
   private applyDemand(
-    configured: Omit<EnginePlanInput, 'usual'>,
+    configured: Omit<EnginePlanInput, 'desiredGroups'>,
     domains: readonly number[],
   ): EnginePlanInput {
     const {gateways, events} = this.options;
     const {pool} = configured;
-    const follower = this.shareAdjusters.get(pool) ?? ShareAdjuster.create();
-    this.shareAdjusters.set(pool, follower);
+    const adjuster = this.shareAdjusters.get(pool) ?? ShareAdjuster.create();
+    this.shareAdjusters.set(pool, adjuster);
     const demand = gateways.computeDemand();
     const {input, shifted} = createEnginePlanInput({
-      adjuster: follower,
+      adjuster,
       input: configured,
       domains,
       demand,
@@ -244,16 +245,13 @@
       events.record({type, subject: 'group', id, reason, details});
     }
     const proposals = commands.map(command => runtime.propose(command));
-    // The next plan repeats a failed change; losing leadership is recorded elsewhere.
+    // The next plan retries a failed change; losing leadership is recorded elsewhere.
     await Promise.all(proposals).catch(() => undefined);
   }
 }
 
-function hasNoWeights({
-  registration,
-  loadedModel: heldModel,
-}: BackendView): boolean {
-  return heldModel === undefined && registration.stagedModels.length === 0;
+function hasNoWeights({registration, loadedModel}: BackendView): boolean {
+  return loadedModel === undefined && registration.stagedModels.length === 0;
 }
 
 type GroupCommand = Extract<
--- a/src/control/quorum_member.ts
+++ b/src/control/quorum_member.ts
@@ -38,11 +38,11 @@
   private raftRuntime: RaftRuntime | undefined;
 
   private constructor(private readonly options: QuorumMemberOptions) {
-    const {settings, disk, connections: links, clock, timers} = options;
+    const {settings, disk, connections, clock, timers} = options;
     this.manager = QuorumManager.create({
       settings,
       disk,
-      connections: links,
+      connections,
       clock,
       timers,
       findRuntime: () => this.raftRuntime,
--- a/src/coordination/groups/plan_consolidation.ts
+++ b/src/coordination/groups/plan_consolidation.ts
@@ -37,15 +37,15 @@
   return [{type: 'end-group', name, epoch, reason, isMove: true}];
 }
 
-/** Checks whether an overloaded model has no other group: it would not be served while this one slowly drains. */
+/** Checks whether an saturated model has no other group: it would not be served while this one slowly drains. */
 function isNeeded(
   {name, model}: EngineGroup,
-  {groups, isSaturated: isPressed}: EnginePlanInput,
+  {groups, isSaturated}: EnginePlanInput,
 ): boolean {
   const hasOther = groups.some(
     other => other.model === model && other.name !== name && !other.isEnding,
   );
-  return !hasOther && isPressed(model);
+  return !hasOther && isSaturated(model);
 }
 
 function listDomains(
--- a/src/coordination/groups/plan_engine_formation.ts
+++ b/src/coordination/groups/plan_engine_formation.ts
@@ -120,10 +120,10 @@
 
 function isBelowDesired(
   {name}: Model,
-  {desiredGroups: usual}: EnginePlanInput,
+  {desiredGroups}: EnginePlanInput,
   counts: ModelCounts,
 ): boolean {
-  return counts.countGroups(name) < (usual.get(name) ?? 0);
+  return counts.countGroups(name) < (desiredGroups.get(name) ?? 0);
 }
 
 /** Lists the free hosts that are not reserved for a model with greater need. */
@@ -200,8 +200,8 @@
   const needsLoad = readyMs >= model.loadMs;
   const spares = countSpares(model, domain, input, isBelow, needsLoad);
   // After the cold start, weights are loaded before a group is formed with them.
-  const {isColdStart: isFirstStart} = input;
-  if (hosts.length - spares < model.size || (needsLoad && !isFirstStart)) {
+  const {isColdStart} = input;
+  if (hosts.length - spares < model.size || (needsLoad && !isColdStart)) {
     return undefined;
   }
   return {
@@ -214,7 +214,7 @@
     needsLoad,
     hostsPerShare: counts.computeHostsPerShare(model),
     // Best fit at the cold start, so that large domains stay usable; later the domain that keeps most spares.
-    domainOrder: isFirstStart ? hosts.length : -hosts.length,
+    domainOrder: isColdStart ? hosts.length : -hosts.length,
   };
 }
 
@@ -271,7 +271,7 @@
 
 /**
  * Returns how many hosts of a domain must stay spare. Without a load, repairs of a
- * model below its desired groups may use every spare, and overloaded models all but
+ * model below its desired groups may use every spare, and saturated models all but
  * one; otherwise no spare may be used.
  */
 function countSpares(
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -27,7 +27,7 @@
  * Plans which groups to end so that their hosts and the free ones of their domain can
  * form a group of another model without a load. Donors are models with more groups
  * than desired if the other model's share was just raised, and models with more hosts
- * relative to their share of the load if the other model is overloaded.
+ * relative to their share of the load if the other model is saturated.
  *
  * @example
  * const actions = planRebalance(input);
@@ -72,11 +72,11 @@
 function isRecipientBelowDesired(
   model: string,
   counts: ModelCounts,
-  {desiredGroups: usual, recipientModel}: EnginePlanInput,
+  {desiredGroups, recipientModel}: EnginePlanInput,
 ): boolean {
   return (
     model === recipientModel &&
-    counts.countGroups(model) < (usual.get(model) ?? 0)
+    counts.countGroups(model) < (desiredGroups.get(model) ?? 0)
   );
 }
 
@@ -158,7 +158,7 @@
   ).length;
 }
 
-/** Checks whether a group's model has more groups than desired, or less need than an overloaded model. */
+/** Checks whether a group's model has more groups than desired, or less need than an saturated model. */
 function canDonate(
   group: EngineGroup,
   donors: readonly EngineGroup[],
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -77,7 +77,7 @@
     return !this.isSent && !this.isEnded;
   }
 
-  /** True while it waits for a connection to a backend server that control no longer lists or that accepts nothing now. */
+  /** True while it waits for a connection to a backend server that the control plane no longer lists or that accepts nothing now. */
   get isTargetUnavailable(): boolean {
     const {balancer, target} = this.options;
     const isOpen = balancer.has(target.incarnation) && this.maySend;
@@ -118,14 +118,7 @@
   }
 
   private send(): void {
-    const {
-      request,
-      body,
-      target,
-      dialect,
-      clientPool: origins,
-      balancer,
-    } = this.options;
+    const {request, body, target, dialect, clientPool, balancer} = this.options;
     const {workspace, remainingMs, lastEventId, maxConnections} = this.options;
     const {incarnation, address} = target;
     balancer.recordRequestStart(incarnation, request.promptTokens);
@@ -135,7 +128,7 @@
       remainingMs,
       lastEventId,
     });
-    this.handle = origins.call(
+    this.handle = clientPool.call(
       {
         address,
         method: request.method,
--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -34,7 +34,7 @@
   readonly leaseClock: Clock;
   readonly events: EventRing;
   readonly askPermit: (limit: RateLimitReport) => Promise<PermitVerdict>;
-  /** Called when the control plane should be told of a limit at once. */
+  /** Called when the control plane should be notified of a limit at once. */
   readonly reportNow: () => void;
 }
 
@@ -64,7 +64,7 @@
    * Creates a table without limits.
    *
    * @example
-   * const limits = BackendRateLimits.create({clock, leaseClock, events, askPermit, onNews});
+   * const limits = BackendRateLimits.create({clock, leaseClock, events, askPermit, reportNow});
    */
   static create(options: BackendRateLimitsOptions): BackendRateLimits {
     return new BackendRateLimits(options);
@@ -76,7 +76,7 @@
     perSecond: number | undefined,
     sentAt: number,
   ): void {
-    const {clock, reportNow: onNews} = this.options;
+    const {clock, reportNow} = this.options;
     const wasLimited = this.isLimited(incarnation);
     this.apply({
       incarnation,
@@ -87,7 +87,7 @@
     // A changed limit concerns only the leader, which gets it with the next
     // permit request.
     if (wasLimited !== this.isLimited(incarnation)) {
-      onNews();
+      reportNow();
     }
   }
 
@@ -110,11 +110,11 @@
     if (!limit || limit.perSecond === null) {
       return UNLIMITED_PERMIT;
     }
-    const pacing = this.findPacer(incarnation);
+    const pacer = this.findPacer(incarnation);
     const askedAt = leaseClock.now();
-    pacing.startRequest();
+    pacer.startRequest();
     const verdict = await askPermit(limit).catch(() => undefined);
-    pacing.finishRequest(verdict, clock.now());
+    pacer.finishRequest(verdict, clock.now());
     if (!verdict) {
       this.pausedUntil = clock.now() + NO_LEADER_RETRY_MS;
     }
@@ -138,23 +138,23 @@
    */
   reserveRetryMs(incarnations: readonly string[]): number {
     const now = this.options.clock.now();
-    const pacings = incarnations
+    const pacers = incarnations
       .filter(incarnation => this.isLimited(incarnation))
       .map(incarnation => this.findPacer(incarnation));
-    const times = pacings.map(pacing => pacing.computeRetryAfterMs(now));
+    const times = pacers.map(pacer => pacer.computeRetryAfterMs(now));
     const inMs = Math.max(0, Math.min(Infinity, ...times));
-    pacings[times.indexOf(Math.min(...times))]?.recordRetryAfter(inMs, now);
+    pacers[times.indexOf(Math.min(...times))]?.recordRetryAfter(inMs, now);
     return inMs;
   }
 
   /**
    * Describes what the control plane should know: the version of the table held
-   * here, and the limits that its leader was not told.
+   * here, and the limits that were not reported to its leader.
    */
   describeChanges(): {limitsTag: string; limits: RateLimitReport[]} {
-    const held = this.limits.list();
+    const limited = this.limits.list();
     const unreported = this.limits
-      .describe(held, this.options.clock.now())
+      .describe(limited, this.options.clock.now())
       .filter(
         change =>
           this.reported.get(change.incarnation) !==
@@ -195,10 +195,10 @@
    */
   expire(isKnown: (incarnation: string) => boolean): void {
     this.limits.expire(this.options.clock.now(), isKnown);
-    const held = new Set(this.limits.list());
+    const limited = new Set(this.limits.list());
     for (const table of [this.pacers, this.reported]) {
       for (const incarnation of table.keys()) {
-        if (!held.has(incarnation)) {
+        if (!limited.has(incarnation)) {
           table.delete(incarnation);
         }
       }
@@ -235,9 +235,9 @@
   }
 
   private findPacer(incarnation: string): PermitRequestPacer {
-    const pacing = this.pacers.get(incarnation) ?? PermitRequestPacer.create();
-    this.pacers.set(incarnation, pacing);
-    return pacing;
+    const pacer = this.pacers.get(incarnation) ?? PermitRequestPacer.create();
+    this.pacers.set(incarnation, pacer);
+    return pacer;
   }
 }
 
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -44,7 +44,7 @@
    * Creates signals with no entries.
    *
    * @example
-   * const signals = BackendSignals.create({clock, leaseClock, events, random, askPermit, reportLeaving, onNews});
+   * const signals = BackendSignals.create({clock, leaseClock, events, random, askPermit, reportLeaving, reportNow});
    */
   static create(options: BackendSignalsOptions): BackendSignals {
     return new BackendSignals(options);
--- a/src/gateway/crash_detector.ts
+++ b/src/gateway/crash_detector.ts
@@ -14,7 +14,7 @@
  * All connections to a backend server break within milliseconds when its
  * process ends; a later break is probed again.
  */
-const BREAK_WINDOW_MS = 1_000;
+const CONNECTION_LOSS_WINDOW_MS = 1_000;
 /**
  * Identities in one log entry, which names each request that may have caused
  * the crash; usually no more than three have no response yet.
@@ -49,7 +49,7 @@
   readonly probe?: typeof probePort;
 }
 
-/** Probes once per break, however many requests it affects. */
+/** Probes once per connection loss, however many requests it affects. */
 export class CrashDetector {
   private readonly connectionLosses = new Map<string, ConnectionLoss>();
 
@@ -71,7 +71,7 @@
     const {incarnation} = attempt.target;
     const now = this.options.clock.now();
     const known = this.connectionLosses.get(incarnation);
-    if (known && now - known.since < BREAK_WINDOW_MS) {
+    if (known && now - known.since < CONNECTION_LOSS_WINDOW_MS) {
       known.attempts.push(attempt);
       return known.state;
     }
@@ -90,7 +90,7 @@
 
   private expire(now: number): void {
     for (const [incarnation, {since}] of this.connectionLosses) {
-      if (now - since >= BREAK_WINDOW_MS) {
+      if (now - since >= CONNECTION_LOSS_WINDOW_MS) {
         this.connectionLosses.delete(incarnation);
       }
     }
--- a/src/gateway/create_forecast_keys.ts
+++ b/src/gateway/create_forecast_keys.ts
@@ -18,7 +18,7 @@
  * Creates the keys of a request: its kind of work and the queue in which it waits.
  *
  * @example
- * const {work, line} = createForecastKeys({route, pool, model: request.model});
+ * const {work, queue} = createForecastKeys({route, pool, model: request.model});
  */
 export function createForecastKeys(input: ForecastKeysInput): ForecastKeys {
   const {route, pool, model = ''} = input;
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -44,7 +44,7 @@
 /** After this time without an answer, another control process is tried. */
 const CONTROL_TIMEOUT_MS = 1_000;
 
-/** A running gateway: it follows control and proxies the requests of callers. */
+/** A running gateway: it polls the control plane and proxies the requests of callers. */
 export class GatewayServer {
   /** Recorded events; the newest are kept in memory. */
   readonly events = EventRing.create();
@@ -89,15 +89,15 @@
     this.seeds = control;
     this.controlAddresses = control;
     const incarnation = randomBytes(8).toString('hex');
-    const lines = ThrottledEventLog.create(events, clock);
+    const eventLog = ThrottledEventLog.create(events, clock);
     const client = ControlClient.create({
       addresses: () => this.controlAddresses,
       hedgeDelayMs: CONTROL_TIMEOUT_MS,
       identity: {program: 'gateway', id: gatewayId, incarnation},
-      onSearched: search => recordLeaderSearch(lines, gatewayId, search),
+      onSearched: search => recordLeaderSearch(eventLog, gatewayId, search),
     });
     const reportNow = () => this.poller.reportNow();
-    const source = {gatewayId, client, events, onNews: reportNow};
+    const source = {gatewayId, client, events, reportNow};
     this.signals = createBackendSignals(source);
     this.balancer = LoadBalancer.create(
       zone,
@@ -136,7 +136,7 @@
       onRunning: (running, others) =>
         this.balancer.setRunningElsewhere(running, others),
       readSuspectsVersion: () => this.containment.version,
-      onSuspects: news => this.containment.apply(news),
+      onSuspects: update => this.containment.apply(update),
       limits: this.signals.limits,
       onTargets: targets => {
         this.balancer.setTargets(targets);
@@ -168,7 +168,7 @@
   }
 
   /**
-   * Starts to poll control and to listen for callers.
+   * Starts to poll the control plane and to listen for callers.
    *
    * @throws TransportError when the address cannot be bound
    * @example
@@ -197,7 +197,7 @@
     return !this.shutdown.hasBegun && this.poller.isConfirmed() && hasTargets;
   }
 
-  /** Updates the seed addresses of control after the settings changed. */
+  /** Updates the seed addresses of the control plane after the settings changed. */
   setControl(addresses: readonly string[]): void {
     this.seeds = addresses;
     this.controlAddresses = [
--- a/src/gateway/send_error_response.ts
+++ b/src/gateway/send_error_response.ts
@@ -10,7 +10,7 @@
   /** Sent only if no head was sent yet; 503 only for a request that was not executed. */
   readonly status: number;
   /** Estimates when the caller may retry a request that was not executed. */
-  readonly wait: Pick<SlotWait, 'computeReturnMs'>;
+  readonly wait: Pick<SlotWait, 'computeRetryAfterMs'>;
 }
 
 /**
--- a/src/gateway/slot_wait.ts
+++ b/src/gateway/slot_wait.ts
@@ -30,9 +30,9 @@
   /** Longest gap between events that the caller tolerates, in milliseconds. */
   readonly maxPauseMs: number;
   /**
-   * Reserves the next opening at backend servers that are rate limited or back
-   * off: the delay in milliseconds, and whether no other backend server is
-   * left. The caller counts as told to retry then.
+   * Reserves the next free time of the backend servers that are rate limited or
+   * back off for the caller, which is told to retry then. Returns the delay in
+   * milliseconds, and whether no other backend server is left.
    */
   readonly reserveRetry: () => {
     readonly inMs: number;
@@ -53,7 +53,7 @@
    * Creates a wait that has not started.
    *
    * @example
-   * const wait = SlotWait.create({forecast, clock, line, work, objectiveMs, arrivedAt, deadlineAt, maxRetryAfterFraction, maxPauseMs, reserveRetry, findRepairMs});
+   * const wait = SlotWait.create({forecast, clock, queue, work, objectiveMs, arrivedAt, deadlineAt, maxRetryAfterFraction, maxPauseMs, reserveRetry, findRepairMs});
    */
   static create(options: SlotWaitOptions): SlotWait {
     if (options.queue !== undefined) {
@@ -68,8 +68,8 @@
 
   /** True if no request is ahead in the queue. */
   get isFirstInQueue(): boolean {
-    const {forecast, queue: line} = this.options;
-    return line === undefined || forecast.countAhead(line, this) === 0;
+    const {forecast, queue} = this.options;
+    return queue === undefined || forecast.countAhead(queue, this) === 0;
   }
 
   /**
@@ -81,11 +81,11 @@
    * queue waits for the next slot.
    */
   get canStartInTime(): boolean {
-    const {forecast, clock, queue: line, work, objectiveMs} = this.options;
-    if (line === undefined) {
+    const {forecast, clock, queue, work, objectiveMs} = this.options;
+    if (queue === undefined) {
       return false;
     }
-    const startsAt = clock.now() + forecast.estimateWaitMs(line, this);
+    const startsAt = clock.now() + forecast.estimateWaitMs(queue, this);
     const isLateAnyway = forecast.findAverageFirstEventMs(work) > objectiveMs;
     const latestAt =
       isLateAnyway && this.isFirstInQueue
@@ -96,9 +96,9 @@
 
   /** Starts to wait in the queue for a slot. */
   joinQueue(): void {
-    const {forecast, queue: line} = this.options;
-    if (line !== undefined) {
-      forecast.joinQueue(line, this);
+    const {forecast, queue} = this.options;
+    if (queue !== undefined) {
+      forecast.joinQueue(queue, this);
       this.isForSlot = true;
       this.until = this.objectiveAt;
     }
@@ -135,19 +135,14 @@
    * in milliseconds.
    */
   computeRetryAfterMs(): number {
-    const {
-      forecast,
-      queue: line,
-      clock,
-      deadlineAt,
-      maxRetryAfterFraction,
-    } = this.options;
+    const {forecast, queue, clock, deadlineAt, maxRetryAfterFraction} =
+      this.options;
     const leftMs = deadlineAt - clock.now();
     const {inMs: availableInMs, isOnlyOption} = this.options.reserveRetry();
     return computeRetryAfterMs({
       forecast,
       // Slots at engines that accept nothing now are no use.
-      queue: isOnlyOption ? undefined : line,
+      queue: isOnlyOption ? undefined : queue,
       leftMs,
       maxRetryAfterFraction,
       availableInMs,
@@ -156,16 +151,16 @@
 
   /** Records that the engine has finished the request. */
   recordSlotFreed(): void {
-    const {forecast, queue: line} = this.options;
-    if (line !== undefined) {
-      forecast.recordSlotFreed(line);
+    const {forecast, queue} = this.options;
+    if (queue !== undefined) {
+      forecast.recordSlotFreed(queue);
     }
   }
 
   end(): void {
-    const {forecast, queue: line} = this.options;
-    if (line !== undefined) {
-      forecast.leaveQueue(line, this);
+    const {forecast, queue} = this.options;
+    if (queue !== undefined) {
+      forecast.leaveQueue(queue, this);
     }
     this.until = undefined;
   }
--- a/src/gateway/suspect_trial.ts
+++ b/src/gateway/suspect_trial.ts
@@ -91,10 +91,10 @@
     canAwait: boolean,
     findTarget: () => GatewayTarget | undefined,
   ): TrialStep {
-    const {nextStep: answer} = this;
+    const {nextStep} = this;
     this.nextStep = undefined;
-    if (answer) {
-      return this.settle(answer);
+    if (nextStep) {
+      return this.settle(nextStep);
     }
     const waitedMs = now - Math.max(this.waitingSince ?? now, this.notBefore);
     if (waitedMs > MAX_WAIT_MS && !this.isAsking) {
--- a/test/coordination/plan_engine_groups.test.ts
+++ b/test/coordination/plan_engine_groups.test.ts
@@ -165,9 +165,9 @@
 
   test('joins no other group', () => {
     const backends = [host('a'), host('b')];
-    const usual = new Map([['low', 1]]);
+    const desiredGroups = new Map([['low', 1]]);
     // The other host preloads a model; nothing is planned for the retired one.
-    const actions = plan({backends, isRetired, desiredGroups: usual});
+    const actions = plan({backends, isRetired, desiredGroups});
     expect(describeActions(actions)).toEqual(['join a']);
     expect(actions[0]).toMatchObject({group: {name: 'parked-a'}});
   });
@@ -178,18 +178,18 @@
   const spares = [host('s', held), host('t', held)];
   const members = [host('a', told('open')), host('b', told('ready', 1))];
   const groups = [group(['a', 'b'], {isEnding: true})];
-  const usual = new Map([['low', 1]]);
+  const desiredGroups = new Map([['low', 1]]);
   const backends = [...members, ...spares];
 
   test('is formed again from its own hosts, not from the spares of others', () => {
     const isLost = (incarnation: string) => incarnation === 'b';
-    const actions = plan({groups, backends, desiredGroups: usual, isLost});
+    const actions = plan({groups, backends, desiredGroups, isLost});
     expect(describeActions(actions)).toEqual(['leave a']);
   });
 
   test('is replaced with spares while an unreachable head holds its hosts', () => {
     const isLost = (incarnation: string) => incarnation === 'a';
-    const actions = plan({groups, backends, desiredGroups: usual, isLost});
+    const actions = plan({groups, backends, desiredGroups, isLost});
     expect(describeActions(actions)).toContain('set-group low-2');
   });
 });
--- a/test/coordination/plan_engine_hosts.test.ts
+++ b/test/coordination/plan_engine_hosts.test.ts
@@ -9,13 +9,13 @@
 } from '../support/engine_plan';
 
 describe('hosts without a group', () => {
-  const usual = new Map([
+  const desiredGroups = new Map([
     ['big', 2],
     ['low', 2],
   ]);
 
   test('load a model into memory before any group waits for it', () => {
-    const actions = plan({backends: hosts('d', 4), desiredGroups: usual});
+    const actions = plan({backends: hosts('d', 4), desiredGroups});
     expect(describeActions(actions)).toEqual([
       'join d0',
       'join d1',
@@ -30,7 +30,7 @@
 
   test('take the model on their own disk without a load from the store', () => {
     const backends = [host('a', {stagedModels: ['low']})];
-    const [action] = plan({backends, desiredGroups: usual});
+    const [action] = plan({backends, desiredGroups});
     expect(action).toMatchObject({kind: 'join', model: 'low', isLoad: false});
   });
 
@@ -42,7 +42,7 @@
     const groups = [low, other];
     const [action] = plan({
       backends,
-      desiredGroups: usual,
+      desiredGroups,
       groups,
       isInGracePeriod: true,
     });
@@ -63,7 +63,7 @@
     const groups = [low, other, big];
     const actions = plan({
       backends,
-      desiredGroups: usual,
+      desiredGroups,
       groups,
       isInGracePeriod: true,
     });
@@ -85,15 +85,15 @@
 describe('an overloaded model', () => {
   test('gets one more group from spares, but not from the last spare', () => {
     const held = {model: 'low', stagedModels: ['big']};
-    const usual = new Map([['low', 1]]);
+    const desiredGroups = new Map([['low', 1]]);
     const groups = [group(['x', 'y'])];
-    const isPressed = (model: string) => model === 'low';
+    const isSaturated = (model: string) => model === 'low';
     const formed = (count: number) =>
       plan({
         backends: hosts('d', count, held),
         groups,
-        desiredGroups: usual,
-        isSaturated: isPressed,
+        desiredGroups,
+        isSaturated,
         isInGracePeriod: true,
       }).filter(action => action.type === 'set-group').length;
 
@@ -125,15 +125,15 @@
   const input = {
     groups: small,
     backends: [...members, ...spares],
-    usual: new Map([
+    desiredGroups: new Map([
       ['big', 1],
       ['low', 3],
     ]),
   };
 
   test('gets the hosts of another model if they and spares are enough', () => {
-    const isPressed = (model: string) => model === 'big';
-    const actions = plan({...input, isSaturated: isPressed});
+    const isSaturated = (model: string) => model === 'big';
+    const actions = plan({...input, isSaturated});
     expect(describeActions(actions)).toContain('end-group low-2');
   });
 
@@ -143,7 +143,7 @@
 });
 
 describe('copies of weights on disk', () => {
-  const usual = new Map([['low', 1]]);
+  const desiredGroups = new Map([['low', 1]]);
 
   test('are kept by spares and by members, spares first', () => {
     const held = {model: 'low', stagedModels: ['low']};
@@ -154,7 +154,7 @@
     const actions = plan({
       groups: [group(['a', 'b'])],
       backends: [...members, host('s', held)],
-      desiredGroups: usual,
+      desiredGroups,
     });
 
     expect(describeActions(actions)).toEqual(['stage s', 'stage a', 'stage b']);
@@ -206,14 +206,9 @@
       host('c', {...held, domain: 'e'}),
     ];
     const groups = [group(['a', 'b'], {domain: 'd+e'})];
-    const usual = new Map([['low', 1]]);
-    const isPressed = () => true;
-    const actions = plan({
-      groups,
-      backends,
-      desiredGroups: usual,
-      isSaturated: isPressed,
-    });
+    const desiredGroups = new Map([['low', 1]]);
+    const isSaturated = () => true;
+    const actions = plan({groups, backends, desiredGroups, isSaturated});
 
     expect(describeActions(actions)).not.toContain('end-group low-1');
   });
--- a/test/coordination/plan_needier_model.test.ts
+++ b/test/coordination/plan_needier_model.test.ts
@@ -39,14 +39,14 @@
 describe('hosts of a domain in which the model with greater need can soon form a group', () => {
   const {groups, views} = createSmallGroups('e', [1, 2]);
   const survivors = ['a', 'b', 'c'].map(name => host(name, holdsBig));
-  const usual = new Map([
+  const desiredGroups = new Map([
     ['big', 2],
     ['low', 3],
   ]);
 
   test('are not taken by the other model', () => {
     const backends = [...views, ...survivors, host('new')];
-    const actions = plan({groups, backends, desiredGroups: usual});
+    const actions = plan({groups, backends, desiredGroups});
 
     expect(actions.filter(({type}) => type === 'set-group')).toEqual([]);
   });
@@ -54,7 +54,7 @@
   test('include an empty one, which loads the model with greater need', () => {
     const others = hosts('f', 3, holdsBig);
     const backends = [...views, ...survivors, ...others, host('new')];
-    const [order] = plan({groups, backends, desiredGroups: usual}).filter(
+    const [order] = plan({groups, backends, desiredGroups}).filter(
       action => action.type === 'order',
     );
 
@@ -70,7 +70,7 @@
     const actions = plan({
       groups,
       backends: [...views, ...survivors],
-      desiredGroups: usual,
+      desiredGroups,
     });
 
     expect(describeActions(actions)).toContain('set-group low-3');
@@ -137,17 +137,17 @@
 });
 
 describe('an overloaded model with the greater need', () => {
-  const isPressed = (model: string) => model === 'big';
+  const isSaturated = (model: string) => model === 'big';
   const {groups, views} = createSmallGroups('d', [1, 2]);
   const elsewhere = createSmallGroups('e', [3, 4]);
   const input = {
     groups: [...groups, ...elsewhere.groups],
     backends: [...views, ...elsewhere.views],
-    usual: new Map([
+    desiredGroups: new Map([
       ['big', 1],
       ['low', 4],
     ]),
-    isPressed,
+    isSaturated,
   };
 
   test('gets the hosts of two groups of one domain if one has too few', () => {
--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -197,7 +197,7 @@
 
   private followDemand(
     domains: readonly number[],
-    configured: Omit<EnginePlanInput, 'usual'>,
+    configured: Omit<EnginePlanInput, 'desiredGroups'>,
   ): EnginePlanInput {
     const {followsDemand = true} = this.options;
     const {profile} = configured;
