--- a/src/common/lease_clock.ts
+++ b/src/common/lease_clock.ts
@@ -30,7 +30,7 @@
 
 /** What the clock goes by. */
 interface LeaseClockOptions {
-  readonly steady: Clock;
+  readonly monotonic: Clock;
   /** Milliseconds of the time of day. */
   readonly wall: () => number;
   /** Told at the first look after the clocks have parted. */
@@ -94,9 +94,9 @@
   private readBoth(): {steady: number; wall: number} {
     const {options} = this;
     for (let reading = 1; ; reading += 1) {
-      const before = options.steady.now();
+      const before = options.monotonic.now();
       const wall = options.wall();
-      const tookMs = options.steady.now() - before;
+      const tookMs = options.monotonic.now() - before;
       if (tookMs < SAME_MOMENT_MS || reading === MAX_READINGS) {
         return {steady: before, wall};
       }
--- a/src/common/push_source.ts
+++ b/src/common/push_source.ts
@@ -14,7 +14,7 @@
 /** How a source behaves before anybody listens. */
 interface PushSourceOptions {
   /** Keeps values for the first subscriber; otherwise they are dropped. */
-  readonly keepsUntilObserved?: boolean;
+  readonly buffersUntilObserved?: boolean;
 }
 
 /** Feeds values into a `most` stream synchronously. */
@@ -25,7 +25,9 @@
   private kept: T[] | undefined;
   private isEnded = false;
 
-  private constructor({keepsUntilObserved = false}: PushSourceOptions) {
+  private constructor({
+    buffersUntilObserved: keepsUntilObserved = false,
+  }: PushSourceOptions) {
     this.kept = keepsUntilObserved ? [] : undefined;
     this.stream = new Stream<T>({
       run: (sink, scheduler) => this.subscribe(sink, scheduler),
--- a/src/common/limit_lines.ts
+++ b/src/common/rate_limit_event_log.ts
@@ -2,7 +2,7 @@
 import {Clock} from './clock';
 import {EventRing} from './event_ring';
 import {SystemEvent} from './system_event';
-import {ThrottledLines} from './throttled_lines';
+import {ThrottledEventLog} from './throttled_event_log';
 
 /** What became known of a limit. */
 interface LimitNews {
@@ -15,14 +15,14 @@
 }
 
 /** One line for each limit that is named or ends; figures may change with each answer, so they share one line a second. */
-export class LimitLines {
-  private readonly changes: ThrottledLines;
+export class RateLimitEventLog {
+  private readonly changes: ThrottledEventLog;
 
   private constructor(
     private readonly events: EventRing,
     clock: Clock,
   ) {
-    this.changes = ThrottledLines.create(events, clock);
+    this.changes = ThrottledEventLog.create(events, clock);
   }
 
   /**
@@ -31,8 +31,8 @@
    * @example
    * const lines = LimitLines.create(events, clock);
    */
-  static create(events: EventRing, clock: Clock): LimitLines {
-    return new LimitLines(events, clock);
+  static create(events: EventRing, clock: Clock): RateLimitEventLog {
+    return new RateLimitEventLog(events, clock);
   }
 
   record(news: LimitNews): void {
--- a/src/common/run_stop.ts
+++ b/src/common/run_graceful_shutdown.ts
@@ -1,6 +1,6 @@
 /** The steps of a planned stop, alike in every program that answers callers. */
 import {Clock} from './clock';
-import {StopSchedule} from './stop_schedule';
+import {ShutdownSchedule} from './shutdown_schedule';
 
 /** Between two looks at what is under way. */
 const LOOK_EVERY_MS = 20;
@@ -9,7 +9,7 @@
 
 /** What a program does at each step. */
 interface StopSteps {
-  readonly schedule: StopSchedule;
+  readonly schedule: ShutdownSchedule;
   readonly clock: Clock;
   /** Requests that were taken and whose answers have not left whole, to the last byte. */
   readonly countTaken: () => number;
@@ -36,12 +36,12 @@
  * @example
  * const {givenUp} = await runStop({schedule, clock, countTaken, countOpen, stopAccepting, giveUp});
  */
-export async function runStop(steps: StopSteps): Promise<StopEnd> {
+export async function runGracefulShutdown(steps: StopSteps): Promise<StopEnd> {
   const {schedule, clock, countTaken, countOpen} = steps;
-  schedule.begin(clock.now());
-  const isOver = () => schedule.isOver(clock.now());
+  schedule.start(clock.now());
+  const isOver = () => schedule.isTimeUp(clock.now());
   const isFinished = () =>
-    schedule.isNoticed(clock.now()) && countTaken() === 0;
+    schedule.isNoticePeriodOver(clock.now()) && countTaken() === 0;
   // Refusals do not count here: callers that go on coming would hold the stop.
   await waitUntil(() => isFinished() || isOver());
   steps.stopAccepting();
--- a/src/common/stop_schedule.ts
+++ b/src/common/shutdown_schedule.ts
@@ -10,13 +10,13 @@
 /** How long a stop may take. */
 interface StopScheduleOptions {
   /** From the signal to the end by force, in milliseconds. */
-  readonly withinMs: number;
+  readonly timeoutMs: number;
   /** While callers may not know yet, in milliseconds. */
-  readonly noticeMs?: number;
+  readonly noticePeriodMs?: number;
 }
 
 /** The schedule of one planned stop; times are of the process's monotonic clock. */
-export class StopSchedule {
+export class ShutdownSchedule {
   private toldAt: number | undefined;
 
   private constructor(private readonly options: StopScheduleOptions) {}
@@ -27,16 +27,16 @@
    * @example
    * const schedule = StopSchedule.create({withinMs: 8000});
    */
-  static create(options: StopScheduleOptions): StopSchedule {
-    return new StopSchedule(options);
+  static create(options: StopScheduleOptions): ShutdownSchedule {
+    return new ShutdownSchedule(options);
   }
 
   /** The process was told to stop; a second time changes nothing. */
-  begin(now: number): void {
+  start(now: number): void {
     this.toldAt ??= now;
   }
 
-  get hasBegun(): boolean {
+  get hasStarted(): boolean {
     return this.toldAt !== undefined;
   }
 
@@ -46,27 +46,27 @@
    *
    * @param longestMs the longest that such work took lately
    */
-  canTake(now: number, longestMs: number): boolean {
+  canAccept(now: number, longestMs: number): boolean {
     if (this.toldAt === undefined) {
       return true;
     }
     const isInTime = now + longestMs < this.endsAt;
-    return isInTime && !this.isNoticed(now);
+    return isInTime && !this.isNoticePeriodOver(now);
   }
 
   /** True once everybody who asks has noticed the stop. */
-  isNoticed(now: number): boolean {
-    const {noticeMs = NOTICE_MS} = this.options;
+  isNoticePeriodOver(now: number): boolean {
+    const {noticePeriodMs: noticeMs = NOTICE_MS} = this.options;
     return this.toldAt !== undefined && now - this.toldAt >= noticeMs;
   }
 
   /** True when what is still under way must be given up. */
-  isOver(now: number): boolean {
+  isTimeUp(now: number): boolean {
     return now >= this.endsAt;
   }
 
   private get endsAt(): number {
-    const {withinMs} = this.options;
+    const {timeoutMs: withinMs} = this.options;
     const marginMs = Math.min(END_MARGIN_MS, withinMs * END_MARGIN_SHARE);
     return (this.toldAt ?? Infinity) + withinMs - marginMs;
   }
--- a/src/common/throttled_lines.ts
+++ b/src/common/throttled_event_log.ts
@@ -9,7 +9,7 @@
 const MAX_KINDS = 100;
 
 /** Records the first event of a kind at once, and later ones at most once a second with the number left out. */
-export class ThrottledLines {
+export class ThrottledEventLog {
   private readonly recordedAt = new Map<string, number>();
   private readonly leftOut = new Map<string, number>();
 
@@ -25,8 +25,8 @@
    * const lines = ThrottledLines.create(events, clock);
    * lines.record('registration-ask no lease', event);
    */
-  static create(events: EventRing, clock: Clock): ThrottledLines {
-    return new ThrottledLines(events, clock);
+  static create(events: EventRing, clock: Clock): ThrottledEventLog {
+    return new ThrottledEventLog(events, clock);
   }
 
   /** @param kind events of one kind share their limit; kinds must be few */
--- a/src/control/control_log.ts
+++ b/src/control/control_log.ts
@@ -1,9 +1,9 @@
 /** What a control process writes of itself: enough to explain a quorum that does not decide. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {RaftMessage} from '../protocol/raft_message';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {RaftRuntime} from './raft_runtime';
 
 /** A call that was not carried out. */
@@ -17,14 +17,14 @@
 
 /** Writes lines under the identity of one process. */
 export class ControlLog {
-  private readonly lines: ThrottledLines;
+  private readonly lines: ThrottledEventLog;
 
   private constructor(
     private readonly identity: string,
     private readonly events: EventRing,
     clock: Clock,
   ) {
-    this.lines = ThrottledLines.create(events, clock);
+    this.lines = ThrottledEventLog.create(events, clock);
   }
 
   /**
@@ -42,7 +42,7 @@
   }
 
   /** What the disk knows of before: without it a quorum that does not come together cannot be explained. */
-  recordRecovered({log, snapshots}: ControlDisk): void {
+  recordRecovered({log, snapshots}: ControlDataFolder): void {
     const {term, votedFor = '', commitIndex, entries} = log.recovered;
     this.events.record({
       type: 'state-recovered',
--- a/src/control/control_server.ts
+++ b/src/control/control_server.ts
@@ -9,7 +9,7 @@
 import {Peer} from '../protocol/peer';
 import {splitIdentity} from '../protocol/split_identity';
 import {RaftMessage} from '../protocol/raft_message';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {FrameConnection} from '../transport/frame_connection';
 import {FrameServer} from '../transport/frame_server';
 import {createCallHandlers} from './call_handlers';
@@ -52,7 +52,7 @@
 
   private constructor(
     private readonly settings: ControlSettings,
-    private readonly disk: ControlDisk,
+    private readonly disk: ControlDataFolder,
   ) {
     this.failed = new Promise(resolve => (this.fail = resolve));
     this.log = ControlLog.create(disk.identity, this.events, systemClock);
@@ -80,7 +80,7 @@
   static async create(settings: ControlSettings): Promise<ControlServer> {
     const refusals: string[] = [];
     const {name, dataFolder, locksFolder} = settings;
-    const disk = await ControlDisk.create(dataFolder, name, {
+    const disk = await ControlDataFolder.create(dataFolder, name, {
       locksFolder,
       onDiskFull: error => refusals.push(error.message),
     });
@@ -160,7 +160,7 @@
       links: this.links,
       clock: systemClock,
       leaseClock: LeaseClock.create({
-        steady: systemClock,
+        monotonic: systemClock,
         wall: () => Date.now(),
         onPause: pause =>
           recordPause(this.events, 'control', disk.identity, pause),
--- a/src/control/limit_desk.ts
+++ b/src/control/limit_desk.ts
@@ -1,7 +1,7 @@
 /** The leader's table of the limits that backend servers name, and its permits to send to them. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {LimitLines} from '../common/limit_lines';
+import {RateLimitEventLog} from '../common/rate_limit_event_log';
 import {NamedLimits} from '../coordination/limits/named_limits';
 import {PermitIssuer} from '../coordination/limits/permit_issuer';
 import {permitTiming} from '../coordination/limits/permit_timing';
@@ -43,10 +43,10 @@
   private term = -1;
   private expiredAt = -Infinity;
 
-  private readonly lines: LimitLines;
+  private readonly lines: RateLimitEventLog;
 
   private constructor(private readonly options: LimitDeskOptions) {
-    this.lines = LimitLines.create(options.events, options.clock);
+    this.lines = RateLimitEventLog.create(options.events, options.clock);
   }
 
   /**
--- a/src/control/quorum_keeper.ts
+++ b/src/control/quorum_keeper.ts
@@ -8,7 +8,7 @@
 import {FormationMessage} from '../protocol/formation_message';
 import {MessageOf} from '../protocol/message_of';
 import {splitIdentity} from '../protocol/split_identity';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {ControlLinks} from './control_links';
 import {ControlSettings} from './control_settings';
 import {formQuorum} from './form_quorum';
@@ -26,7 +26,7 @@
 /** What the keeper works with. */
 interface QuorumKeeperOptions {
   readonly settings: ControlSettings;
-  readonly disk: ControlDisk;
+  readonly disk: ControlDataFolder;
   readonly links: Pick<
     ControlLinks,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
--- a/src/control/quorum_member.ts
+++ b/src/control/quorum_member.ts
@@ -4,7 +4,7 @@
 import {defaultRaftTiming} from '../coordination/agreement/default_raft_timing';
 import {Message} from '../protocol/message';
 import {RaftMessage} from '../protocol/raft_message';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {ControlLinks} from './control_links';
 import {ControlSettings} from './control_settings';
 import {QuorumKeeper} from './quorum_keeper';
@@ -18,7 +18,7 @@
   'send' | 'onFailure' | 'onDiskFull' | 'onChange' | 'leaseClock'
 > {
   readonly settings: ControlSettings;
-  readonly disk: ControlDisk;
+  readonly disk: ControlDataFolder;
   readonly links: Pick<
     ControlLinks,
     'add' | 'send' | 'listIdentities' | 'findHeardAt'
--- a/src/control/raft_runtime.ts
+++ b/src/control/raft_runtime.ts
@@ -15,7 +15,7 @@
 import {RaftMessage} from '../protocol/raft_message';
 import {ClusterState} from '../state/cluster_state';
 import {CommandResult} from '../state/command_result';
-import {ControlDisk} from '../state/control_disk';
+import {ControlDataFolder} from '../state/control_data_folder';
 import {LogRecord} from '../state/log_record';
 import {ControlError} from './control_error';
 import {createLogRecords} from './create_log_records';
@@ -40,7 +40,7 @@
 
 /** What the runtime is made of. */
 interface RaftRuntimeOptions {
-  readonly disk: ControlDisk;
+  readonly disk: ControlDataFolder;
   readonly clock: Clock;
   /** Tells of suspensions, which `clock` does not count. */
   readonly leaseClock?: Pick<LeaseClock, 'pausedAt'>;
@@ -71,7 +71,7 @@
   private tables: ClusterState;
   private readonly diskJobs: DiskJob[] = [];
   private readonly snapshotJobs: Array<
-    NonNullable<ControlDisk['snapshots']['current']>
+    NonNullable<ControlDataFolder['snapshots']['current']>
   > = [];
   /** Index of the newest snapshot that is taken or on its way to disk. */
   private snapshotPlanned = 0;
--- a/src/control/registration_desk.ts
+++ b/src/control/registration_desk.ts
@@ -1,7 +1,7 @@
 /** The leader's answers to what backend servers say of themselves. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {BackendRegistration} from '../protocol/backend_registration';
 import {ControlMessage} from '../protocol/control_message';
 import {MessageOf} from '../protocol/message_of';
@@ -31,10 +31,10 @@
 
 /** Takes registrations and departures; the caller makes sure that this process leads. */
 export class RegistrationDesk {
-  private readonly lines: ThrottledLines;
+  private readonly lines: ThrottledEventLog;
 
   private constructor(private readonly options: RegistrationDeskOptions) {
-    this.lines = ThrottledLines.create(options.events, options.clock);
+    this.lines = ThrottledEventLog.create(options.events, options.clock);
   }
 
   /**
@@ -93,7 +93,7 @@
   }: Ask<'leaving-ask'>): Promise<ControlMessage> {
     const {runtime, events} = this.options;
     const isNews = (incarnation: string) =>
-      !runtime.state.engines.isRetired(incarnation);
+      !runtime.state.engineGroups.isRetired(incarnation);
     for (const incarnation of incarnations.filter(isNews)) {
       const reason = 'it says in its answers that it leaves';
       events.record({
@@ -114,7 +114,7 @@
     startedAt,
   }: BackendRegistration): string | undefined {
     const {runtime, registry} = this.options;
-    const {rules} = runtime.state.channel;
+    const {rules} = runtime.state.channelBundles;
     if (rules && !rules.pools.some(({name}) => name === pool)) {
       return `the rules know no pool "${pool}"`;
     }
@@ -145,7 +145,7 @@
   }
 
   private listMembers() {
-    const {engines} = this.options.runtime.state;
+    const {engineGroups: engines} = this.options.runtime.state;
     return engines.list().flatMap(({members}) => members);
   }
 
@@ -187,7 +187,7 @@
   /** An acknowledged departure must outlive this leader, so it goes into the log. */
   private async retire(incarnation: string, reason: string): Promise<void> {
     const {runtime} = this.options;
-    if (runtime.state.engines.isRetired(incarnation)) {
+    if (runtime.state.engineGroups.isRetired(incarnation)) {
       return;
     }
     checkCopies(this.options);
--- a/src/control/suspect_desk.ts
+++ b/src/control/suspect_desk.ts
@@ -60,7 +60,7 @@
     const before = runtime.state.suspects.version;
     const told = {time, crashes, released, cleared};
     const fresh = crashes.filter(
-      ({incarnation}) => !runtime.state.suspects.hasEnded(incarnation),
+      ({incarnation}) => !runtime.state.suspects.hasCrashed(incarnation),
     );
     await runtime.propose({type: 'record-suspects', ...told});
     fresh.forEach(({incarnation}) => this.watch(incarnation));
@@ -101,7 +101,7 @@
     const {runtime, events} = this.options;
     const {suspects} = runtime.state;
     const time = Date.now();
-    if (suspects.isBusy(name, incarnation, time)) {
+    if (suspects.isTrialBlocked(name, incarnation, time)) {
       return {type: 'trial-answer', call, verdict: 'busy'};
     }
     const before = suspects.version;
@@ -136,7 +136,7 @@
 
   private recordChanges(before: number): void {
     const {suspects} = this.options.runtime.state;
-    const {suspected, convicted, freed} = suspects.describeSince(before);
+    const {suspected, convicted, freed} = suspects.listChangesSince(before);
     const tell = (type: string, names: readonly string[]) =>
       names.forEach(name => this.recordStanding(type, name));
     tell('request-suspected', suspected);
--- a/src/entry/entry_server.ts
+++ b/src/entry/entry_server.ts
@@ -4,8 +4,8 @@
 import {EventRing} from '../common/event_ring';
 import {LeaseClock} from '../common/lease_clock';
 import {recordPause} from '../common/record_pause';
-import {runStop} from '../common/run_stop';
-import {StopSchedule} from '../common/stop_schedule';
+import {runGracefulShutdown} from '../common/run_graceful_shutdown';
+import {ShutdownSchedule} from '../common/shutdown_schedule';
 import {systemClock} from '../common/system_clock';
 import {Admission} from '../coordination/requests/admission';
 import {Bundle} from '../protocol/bundle';
@@ -67,7 +67,7 @@
   private readonly clock = systemClock;
   /** For the right to act on the bundle, which a suspension ends. */
   private readonly leaseClock = LeaseClock.create({
-    steady: systemClock,
+    monotonic: systemClock,
     wall: () => Date.now(),
     onPause: pause =>
       recordPause(this.events, 'control', this.settings.entryId, pause),
@@ -77,7 +77,7 @@
   private readonly table: RouteTable;
   private readonly runner: RequestRunner;
   private readonly claims: ControlClient;
-  private readonly schedule: StopSchedule;
+  private readonly schedule: ShutdownSchedule;
   /** Answers that have not left, to the last byte. */
   private readonly open = new Set<ServerResponse>();
   /** Those of requests that were taken. */
@@ -86,7 +86,7 @@
 
   private constructor(private readonly settings: EntrySettings) {
     const {entryId, control, security, stopWithinMs} = settings;
-    this.schedule = StopSchedule.create({withinMs: stopWithinMs});
+    this.schedule = ShutdownSchedule.create({timeoutMs: stopWithinMs});
     const {clock} = this;
     const identity = {
       program: 'entry' as const,
@@ -145,7 +145,7 @@
 
   /** Answers what comes until callers have noticed, then stops when what was taken is answered. */
   async drain(): Promise<void> {
-    const {givenUp} = await runStop({
+    const {givenUp} = await runGracefulShutdown({
       schedule: this.schedule,
       clock: this.clock,
       countTaken: () => this.taken.size,
@@ -178,7 +178,7 @@
   private readonly routes: Readonly<Record<string, Handler>> = {
     'GET /healthz': (_request, response) => {
       const hasLease = this.table.hasLease(this.leaseClock.now());
-      const isReady = hasLease && !this.schedule.hasBegun;
+      const isReady = hasLease && !this.schedule.hasStarted;
       response.writeHead(isReady ? 200 : 503, {'content-type': 'text/plain'});
       response.end(isReady ? 'ready\n' : 'not ready\n');
     },
@@ -240,9 +240,9 @@
       requestId,
       now: this.clock.now(),
     };
-    response.shouldKeepAlive &&= !this.schedule.hasBegun;
+    response.shouldKeepAlive &&= !this.schedule.hasStarted;
     // Asked once the body is here, which may have taken longer than the stop has left.
-    if (!this.schedule.canTake(input.now, 0)) {
+    if (!this.schedule.canAccept(input.now, 0)) {
       sendProblem(response, STOPPING);
       return;
     }
--- a/src/gateway/backend_limits.ts
+++ b/src/gateway/backend_limits.ts
@@ -1,7 +1,7 @@
 /** Limits that backend servers name, as this gateway knows them, and its permits to send in spite of them. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {LimitLines} from '../common/limit_lines';
+import {RateLimitEventLog} from '../common/rate_limit_event_log';
 import {NamedLimits} from '../coordination/limits/named_limits';
 import {PermitPacing} from '../coordination/limits/permit_pacing';
 import {permitTiming} from '../coordination/limits/permit_timing';
@@ -39,10 +39,10 @@
   /** No leader answered: nobody asks before. */
   private silentUntil = -Infinity;
 
-  private readonly lines: LimitLines;
+  private readonly lines: RateLimitEventLog;
 
   private constructor(private readonly options: BackendLimitsOptions) {
-    this.lines = LimitLines.create(options.events, options.clock);
+    this.lines = RateLimitEventLog.create(options.events, options.clock);
   }
 
   /**
--- a/src/gateway/backend_signals.ts
+++ b/src/gateway/backend_signals.ts
@@ -1,5 +1,5 @@
 /** What backend servers say of themselves in their answers, beside the answer. */
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {AnswerHead} from './answer_head';
 import {BackendDepartures} from './backend_departures';
 import {BackendLimits} from './backend_limits';
@@ -28,13 +28,13 @@
   readonly limits: BackendLimits;
   private readonly rests: BackendRests;
   private readonly departures: BackendDepartures;
-  private readonly lines: ThrottledLines;
+  private readonly lines: ThrottledEventLog;
 
   private constructor(options: BackendSignalsOptions) {
     this.limits = BackendLimits.create(options);
     this.rests = BackendRests.create(options);
     this.departures = BackendDepartures.create(options);
-    this.lines = ThrottledLines.create(options.events, options.clock);
+    this.lines = ThrottledEventLog.create(options.events, options.clock);
   }
 
   /**
--- a/src/gateway/create_backend_signals.ts
+++ b/src/gateway/create_backend_signals.ts
@@ -30,7 +30,7 @@
   const wall = () => Date.now();
   return BackendSignals.create({
     clock: systemClock,
-    leaseClock: LeaseClock.create({steady: systemClock, wall}),
+    leaseClock: LeaseClock.create({monotonic: systemClock, wall}),
     events,
     random: Math.random,
     onNews,
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -6,7 +6,7 @@
 import {LeaseClock} from '../common/lease_clock';
 import {recordPause} from '../common/record_pause';
 import {systemClock} from '../common/system_clock';
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {ControlClient} from '../protocol/control_client';
 import {recordSearch} from '../reporting/record_search';
 import {HttpListener} from '../transport/http_listener';
@@ -89,7 +89,7 @@
     this.seeds = control;
     this.controlAddresses = control;
     const incarnation = randomBytes(8).toString('hex');
-    const lines = ThrottledLines.create(events, clock);
+    const lines = ThrottledEventLog.create(events, clock);
     const client = ControlClient.create({
       addresses: () => this.controlAddresses,
       tryTimeoutMs: CONTROL_TRY_MS,
@@ -116,7 +116,7 @@
       client,
       // A key that was taken away while this machine was suspended must not be taken.
       clock: LeaseClock.create({
-        steady: clock,
+        monotonic: clock,
         wall: () => Date.now(),
         onPause: pause => {
           recordPause(events, 'control', gatewayId, pause);
--- a/src/gateway/gateway_stop.ts
+++ b/src/gateway/gateway_stop.ts
@@ -1,8 +1,8 @@
 /** The planned stop of a gateway: what it still takes, and what it tells the others. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
-import {runStop} from '../common/run_stop';
-import {StopSchedule} from '../common/stop_schedule';
+import {runGracefulShutdown} from '../common/run_graceful_shutdown';
+import {ShutdownSchedule} from '../common/shutdown_schedule';
 import {LongestTimes} from './longest_times';
 import {Refusal} from './refusal';
 
@@ -31,7 +31,7 @@
 
 /** Knows whether a gateway stops, and carries the stop out. */
 export class GatewayStop {
-  private readonly schedule: StopSchedule;
+  private readonly schedule: ShutdownSchedule;
   private readonly longest: LongestTimes;
   /** How long this process took from its start until it listened, in milliseconds. */
   private startMs = 0;
@@ -40,7 +40,7 @@
 
   private constructor(private readonly options: GatewayStopOptions) {
     const {withinMs, clock} = options;
-    this.schedule = StopSchedule.create({withinMs});
+    this.schedule = ShutdownSchedule.create({timeoutMs: withinMs});
     this.longest = LongestTimes.create(clock);
   }
 
@@ -55,7 +55,7 @@
   }
 
   get hasBegun(): boolean {
-    return this.schedule.hasBegun;
+    return this.schedule.hasStarted;
   }
 
   /** Notes when the gateway first listened, in milliseconds after its process began. */
@@ -71,11 +71,11 @@
   /** Takes a request, or tells why it is refused: it could not be finished here. */
   admit(request: LateRequest): Refusal | undefined {
     const {schedule} = this;
-    if (!schedule.hasBegun) {
+    if (!schedule.hasStarted) {
       return undefined;
     }
     const longestMs = this.findLongestMs(request);
-    if (schedule.canTake(this.options.clock.now(), longestMs)) {
+    if (schedule.canAccept(this.options.clock.now(), longestMs)) {
       this.takenSince += 1;
       return undefined;
     }
@@ -92,7 +92,7 @@
    */
   async run(
     steps: Pick<
-      Parameters<typeof runStop>[0],
+      Parameters<typeof runGracefulShutdown>[0],
       'countTaken' | 'countOpen' | 'stopAccepting' | 'giveUp'
     >,
   ): Promise<void> {
@@ -100,7 +100,11 @@
     this.record('gateway-stopping', 'callers go elsewhere from now on', {
       underWay: steps.countTaken(),
     });
-    const end = await runStop({...steps, clock, schedule: this.schedule});
+    const end = await runGracefulShutdown({
+      ...steps,
+      clock,
+      schedule: this.schedule,
+    });
     const isWhole = end.givenUp === 0;
     this.record(
       'gateway-stopped',
@@ -119,7 +123,9 @@
    * they took and have started again. Everybody else finds another one now.
    */
   private computeRetryAfterMs(request: LateRequest): number {
-    const isNoticed = this.schedule.isNoticed(this.options.clock.now());
+    const isNoticed = this.schedule.isNoticePeriodOver(
+      this.options.clock.now(),
+    );
     const areFewReady = isNoticed && request.isOnNewConnection;
     const backMs = this.findLongestMs(request) + this.startMs;
     const wantedMs = areFewReady ? backMs : ELSEWHERE_MS;
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -3,7 +3,7 @@
 import {EventRing} from '../common/event_ring';
 import {LeaseClock} from '../common/lease_clock';
 import {recordPause} from '../common/record_pause';
-import {StopSchedule} from '../common/stop_schedule';
+import {ShutdownSchedule} from '../common/shutdown_schedule';
 import {systemClock} from '../common/system_clock';
 import {checkDispatch} from '../coordination/requests/check_dispatch';
 import {Bundle} from '../protocol/bundle';
@@ -39,7 +39,7 @@
   private readonly clock = systemClock;
   /** For leases and start-by times, which a suspension ends. */
   private readonly leaseClock = LeaseClock.create({
-    steady: systemClock,
+    monotonic: systemClock,
     wall: () => Date.now(),
     onPause: pause =>
       recordPause(this.events, 'host', this.settings.hostId, pause),
@@ -115,14 +115,14 @@
     this.isLeaving = true;
     this.record('leaving', 'the process was told to stop');
     this.session?.reportSoon();
-    const schedule = StopSchedule.create({
-      withinMs: this.settings.stopWithinMs,
+    const schedule = ShutdownSchedule.create({
+      timeoutMs: this.settings.stopWithinMs,
     });
-    schedule.begin(clock.now());
+    schedule.start(clock.now());
     let releaseBy = clock.now() + RELEASE_TIMEOUT_MS;
     const isReleased = () => this.member.group === null;
     while (
-      !schedule.isOver(clock.now()) &&
+      !schedule.isTimeUp(clock.now()) &&
       (runner.runningCount > 0 || (!isReleased() && clock.now() < releaseBy))
     ) {
       if (runner.runningCount > 0) {
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -16,7 +16,7 @@
 export class Peer {
   /** Frames may arrive together with the hello, before the owner could listen. */
   private readonly received = PushSource.create<Message>({
-    keepsUntilObserved: true,
+    buffersUntilObserved: true,
   });
   /** Messages after the hello. */
   readonly messages: Stream<Message> = this.received.stream;
--- a/src/reporting/record_search.ts
+++ b/src/reporting/record_search.ts
@@ -1,4 +1,4 @@
-import {ThrottledLines} from '../common/throttled_lines';
+import {ThrottledEventLog} from '../common/throttled_event_log';
 import {ControlClient} from '../protocol/control_client';
 
 type LeaderSearch = Parameters<
@@ -14,7 +14,7 @@
  * const client = ControlClient.create({addresses, identity, onSearched: search => recordSearch(lines, 'gateway-1', search)});
  */
 export function recordSearch(
-  lines: ThrottledLines,
+  lines: ThrottledEventLog,
   id: string,
   {ask, tookMs, isAnswered, tries}: LeaderSearch,
 ): void {
--- a/src/state/cluster_state.ts
+++ b/src/state/cluster_state.ts
@@ -45,8 +45,8 @@
   readonly bundles: BundleTable;
   readonly groups: GroupTable;
   readonly claims: ClaimTable;
-  readonly channel: ChannelBundleTable;
-  readonly engines: EngineGroupTable;
+  readonly channelBundles: ChannelBundleTable;
+  readonly engineGroups: EngineGroupTable;
   readonly suspects: SuspectTable;
   private readonly drained: Set<string>;
   private journal: JournalEntry[];
@@ -56,8 +56,10 @@
     this.bundles = BundleTable.create(snapshot?.bundles);
     this.groups = GroupTable.create(snapshot?.groups);
     this.claims = ClaimTable.create(snapshot?.claims);
-    this.channel = ChannelBundleTable.create(snapshot?.channel ?? undefined);
-    this.engines = EngineGroupTable.create(snapshot?.engines ?? undefined);
+    this.channelBundles = ChannelBundleTable.create(
+      snapshot?.channel ?? undefined,
+    );
+    this.engineGroups = EngineGroupTable.create(snapshot?.engines ?? undefined);
     this.suspects = SuspectTable.create(snapshot?.suspects ?? undefined);
     this.drained = new Set(snapshot?.drained);
     this.journal = snapshot?.journal ?? [];
@@ -88,8 +90,8 @@
     return (
       this.groups.version +
       this.bundles.version +
-      this.channel.version +
-      this.engines.version +
+      this.channelBundles.version +
+      this.engineGroups.version +
       this.suspects.version
     );
   }
@@ -129,8 +131,8 @@
       claims: this.claims.save(),
       drained: [...this.drained],
       journal: this.journal,
-      channel: this.channel.save(),
-      engines: this.engines.save(),
+      channel: this.channelBundles.save(),
+      engines: this.engineGroups.save(),
       suspects: this.suspects.save(),
     });
   }
@@ -152,7 +154,7 @@
     },
     'roll-out': (command, index) => this.rollOut(command, index),
     'accept-channel-bundle': ({bundle}, index) => {
-      const result = this.channel.accept(bundle);
+      const result = this.channelBundles.accept(bundle);
       if (result.isAccepted) {
         const reason = `came in over the channel ${bundle.channel}, unsigned`;
         const id = String(bundle.rules.version);
@@ -162,8 +164,8 @@
       return result;
     },
     'retire-backend': ({incarnation: id, reason}, index) => {
-      const isNew = !this.engines.isRetired(id);
-      const result = this.engines.retire(id);
+      const isNew = !this.engineGroups.isRetired(id);
+      const result = this.engineGroups.retire(id);
       if (isNew) {
         const type = 'backend-retired';
         this.record(index, {type, subject: 'host', id, reason});
@@ -171,7 +173,7 @@
       return result;
     },
     'set-engine-group': ({group, reason}, index) => {
-      const result = this.engines.set({...group, epoch: index});
+      const result = this.engineGroups.set({...group, epoch: index});
       this.record(index, {
         type: result.isAccepted ? 'group-set' : 'group-refused',
         subject: 'group',
@@ -185,17 +187,17 @@
       return result;
     },
     'end-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engines.end(name, epoch);
+      const result = this.engineGroups.markEnding(name, epoch);
       const about = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-ending', about, result);
     },
     'release-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engines.release(name, epoch);
+      const result = this.engineGroups.markReleased(name, epoch);
       const about = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-released', about, result);
     },
     'remove-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engines.remove(name, epoch);
+      const result = this.engineGroups.remove(name, epoch);
       const about = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-removed', about, result);
     },
@@ -217,13 +219,13 @@
       return {isAccepted: trial === 'granted', reason: trial, trial};
     },
     'withdraw-crash': ({incarnation}, index) => {
-      this.suspects.withdraw(incarnation);
+      this.suspects.withdrawCrash(incarnation);
       this.recordVerdicts(index);
       return {isAccepted: true, reason: 'it lives'};
     },
     'lift-verdict': ({name, keyId}, index) => {
       const reason = `ordered by the operator with key ${keyId}`;
-      const isAccepted = this.suspects.revoke(name, reason);
+      const isAccepted = this.suspects.revokeVerdict(name, reason);
       this.recordVerdicts(index);
       return {isAccepted, reason: isAccepted ? reason : 'no such verdict'};
     },
@@ -253,18 +255,18 @@
   ): CommandResult {
     for (const crash of command.crashes) {
       // What ends after a goodbye was not ended by what ran there.
-      if (!this.engines.isRetired(crash.incarnation)) {
+      if (!this.engineGroups.isRetired(crash.incarnation)) {
         this.suspects.recordCrash(crash, this.committedTime);
       }
     }
-    command.released.forEach(name => this.suspects.release(name));
-    command.cleared.forEach(name => this.suspects.clear(name));
+    command.released.forEach(name => this.suspects.endTrial(name));
+    command.cleared.forEach(name => this.suspects.clearSuspect(name));
     this.recordVerdicts(index);
     return {isAccepted: true, reason: 'recorded'};
   }
 
   private recordVerdicts(index: number): void {
-    for (const {name: id, type, reason} of this.suspects.takeNotes()) {
+    for (const {name: id, type, reason} of this.suspects.takeVerdictChanges()) {
       this.record(index, {type, subject: 'request', id, reason});
     }
   }
--- a/src/state/control_disk.ts
+++ b/src/state/control_data_folder.ts
@@ -31,7 +31,7 @@
 }
 
 /** An opened data folder. */
-export class ControlDisk {
+export class ControlDataFolder {
   private constructor(
     private readonly folder: string,
     /** Name of the process and of this very disk: a new disk is a new voter. */
@@ -52,7 +52,7 @@
     folder: string,
     name: string,
     options: ControlDiskOptions = {},
-  ): Promise<ControlDisk> {
+  ): Promise<ControlDataFolder> {
     const {locksFolder = true, storage = nodeStorage} = options;
     const {createDiskId = createNewDiskId, timers = systemTimers} = options;
     await storage.createFolder(folder);
@@ -66,7 +66,7 @@
     );
     const snapshots = await SnapshotStore.create(folder, storage);
     const log = await WriteAheadLog.create(folder, storage);
-    return new ControlDisk(folder, identity, snapshots, log);
+    return new ControlDataFolder(folder, identity, snapshots, log);
   }
 
   /** Closes the log and gives the folder free. */
--- a/src/state/engine_group_table.ts
+++ b/src/state/engine_group_table.ts
@@ -70,12 +70,12 @@
   }
 
   /** Marks a group as one that is being taken apart. */
-  end(name: string, epoch: number): CommandResult {
+  markEnding(name: string, epoch: number): CommandResult {
     return this.mark(name, epoch, {isEnding: true});
   }
 
   /** Marks a group as one that a member has left. */
-  release(name: string, epoch: number): CommandResult {
+  markReleased(name: string, epoch: number): CommandResult {
     return this.mark(name, epoch, {isReleased: true});
   }
 
--- a/src/state/record_file.ts
+++ b/src/state/record_codec.ts
@@ -16,7 +16,7 @@
 }
 
 /** Encodes and scans records. */
-export const recordFile = {
+export const recordCodec = {
   /** Wraps one payload. */
   encode(payload: Uint8Array): Buffer {
     const record = Buffer.allocUnsafe(HEADER_BYTES + payload.length);
--- a/src/state/replace_file.ts
+++ b/src/state/replace_file.ts
@@ -1,6 +1,6 @@
 import * as path from 'node:path';
 import {Storage} from './storage';
-import {writeWhole} from './write_whole';
+import {writeAll} from './write_all';
 
 /**
  * Writes a file so that after a crash either the old or the new content stands.
@@ -16,7 +16,7 @@
   const temporary = `${file}.new`;
   const handle = await storage.open(temporary, 'replace');
   try {
-    await writeWhole(handle, Buffer.from(bytes));
+    await writeAll(handle, Buffer.from(bytes));
     await handle.sync();
   } finally {
     await handle.close();
--- a/src/state/list_forgotten.ts
+++ b/src/state/select_suspects_to_evict.ts
@@ -22,7 +22,7 @@
  * @example
  * listForgotten(suspects).forEach(name => suspects.delete(name));
  */
-export function listForgotten(
+export function selectSuspectsToEvict(
   suspects: ReadonlyMap<string, Suspect>,
 ): string[] {
   const callers = new Map<string, string[]>();
--- a/src/state/snapshot_store.ts
+++ b/src/state/snapshot_store.ts
@@ -3,7 +3,7 @@
 import {Decoder, Encoder} from 'cbor-x';
 import {z} from 'zod';
 import {nodeStorage} from './node_storage';
-import {recordFile} from './record_file';
+import {recordCodec} from './record_codec';
 import {replaceFile} from './replace_file';
 import {StateError} from './state_error';
 import {Storage} from './storage';
@@ -59,7 +59,7 @@
       await replaceFile(
         this.storage,
         this.file,
-        recordFile.encode(encoder.encode(snapshot)),
+        recordCodec.encode(encoder.encode(snapshot)),
       );
     } catch (error) {
       const isFull = (error as NodeJS.ErrnoException).code === 'ENOSPC';
@@ -77,7 +77,7 @@
 }
 
 function readSnapshot(bytes: Buffer, file: string): Snapshot {
-  const {payloads, wholeBytes} = recordFile.decode(bytes, file);
+  const {payloads, wholeBytes} = recordCodec.decode(bytes, file);
   if (payloads.length !== 1 || wholeBytes !== bytes.length) {
     throw new StateError(
       '%s is damaged: it does not hold exactly one record',
--- a/src/state/suspect_table.ts
+++ b/src/state/suspect_table.ts
@@ -6,7 +6,7 @@
 import {CrashReport} from '../protocol/crash_report';
 import {SuspectNews} from '../protocol/suspect_news';
 import {TrialVerdict} from '../protocol/trial_verdict';
-import {listForgotten} from './list_forgotten';
+import {selectSuspectsToEvict} from './select_suspects_to_evict';
 import {Suspect} from './suspect';
 
 /** Ends that are remembered; the loss of every domain at hundreds of hosts makes fewer heads than that. */
@@ -81,7 +81,7 @@
   }
 
   /** Takes the changes of verdicts since the last call. */
-  takeNotes(): readonly VerdictNote[] {
+  takeVerdictChanges(): readonly VerdictNote[] {
     const {notes} = this;
     this.notes = [];
     return notes;
@@ -106,7 +106,7 @@
   }
 
   /** It had not ended after all: what ran there has nothing to do with it. */
-  withdraw(incarnation: string): void {
+  withdrawCrash(incarnation: string): void {
     if (!this.ends.delete(incarnation)) {
       return;
     }
@@ -116,7 +116,7 @@
   }
 
   /** True while an end is remembered and not withdrawn. */
-  hasEnded(incarnation: string): boolean {
+  hasCrashed(incarnation: string): boolean {
     return this.ends.has(incarnation);
   }
 
@@ -130,7 +130,7 @@
     if (standing === 'convicted') {
       return 'convicted';
     }
-    if (this.isBusy(name, incarnation, time)) {
+    if (this.isTrialBlocked(name, incarnation, time)) {
       return 'busy';
     }
     this.suspects.set(name, {...suspect, trial: {incarnation, time}});
@@ -138,7 +138,7 @@
   }
 
   /** A suspect cannot be sent to a backend server now; asked again and again, so it changes nothing. */
-  isBusy(name: string, incarnation: string, time: number): boolean {
+  isTrialBlocked(name: string, incarnation: string, time: number): boolean {
     const suspect = this.suspects.get(name);
     if (!suspect || suspect.standing === 'convicted') {
       return false;
@@ -153,7 +153,7 @@
   }
 
   /** A trial is over: nothing ended as far as the request has come. */
-  release(name: string): void {
+  endTrial(name: string): void {
     const suspect = this.suspects.get(name);
     if (suspect) {
       this.suspects.set(name, {...suspect, trial: undefined});
@@ -161,7 +161,7 @@
   }
 
   /** It ran to its end elsewhere: nothing is held against it any more. */
-  clear(name: string): void {
+  clearSuspect(name: string): void {
     if (this.suspects.get(name)?.standing === 'convicted') {
       const reason = 'one like it ran to its end';
       this.notes.push({name, type: 'verdict-lifted', reason});
@@ -170,7 +170,7 @@
   }
 
   /** An operator wants it sent again. */
-  revoke(name: string, reason: string): boolean {
+  revokeVerdict(name: string, reason: string): boolean {
     const isKnown = this.suspects.get(name)?.standing === 'convicted';
     if (isKnown) {
       this.drop(name);
@@ -180,7 +180,7 @@
   }
 
   /** What a gateway needs that knows the list as of a version. */
-  describeSince(version: number): SuspectNews {
+  listChangesSince(version: number): SuspectNews {
     const oldest = this.freed[0]?.[1] ?? 0;
     const hasAll = this.freed.length < MAX_FREED || version >= oldest;
     const isWhole = version > this.changes || version === 0 || !hasAll;
@@ -342,7 +342,7 @@
   private endTrials(incarnation: string): void {
     for (const [name, {trial}] of this.list()) {
       if (trial?.incarnation === incarnation) {
-        this.release(name);
+        this.endTrial(name);
       }
     }
   }
@@ -361,7 +361,7 @@
   }
 
   private expire(): void {
-    listForgotten(this.suspects).forEach(name => this.drop(name));
+    selectSuspectsToEvict(this.suspects).forEach(name => this.drop(name));
     for (const oldest of this.ends.keys()) {
       if (this.ends.size <= MAX_ENDS) {
         break;
--- a/src/state/write_ahead_log.ts
+++ b/src/state/write_ahead_log.ts
@@ -4,12 +4,12 @@
 import {LogEntry} from '../protocol/log_entry';
 import {LogRecord} from './log_record';
 import {nodeStorage} from './node_storage';
-import {recordFile} from './record_file';
+import {recordCodec} from './record_codec';
 import {replaceFile} from './replace_file';
 import {StateError} from './state_error';
 import {Storage} from './storage';
 import {StorageFile} from './storage_file';
-import {writeWhole} from './write_whole';
+import {writeAll} from './write_all';
 
 const FILE_NAME = 'log.wal';
 const encoder = new Encoder({useRecords: false});
@@ -51,7 +51,7 @@
   ): Promise<WriteAheadLog> {
     const name = path.join(folder, FILE_NAME);
     const bytes = (await storage.read(name)) ?? Buffer.alloc(0);
-    const {payloads, wholeBytes} = recordFile.decode(bytes, name);
+    const {payloads, wholeBytes} = recordCodec.decode(bytes, name);
     const records = payloads.map(payload => decodeRecord(payload, name));
     const file = await storage.open(name, 'add');
     await file.truncate(wholeBytes);
@@ -72,7 +72,7 @@
   async append(records: readonly LogRecord[]): Promise<void> {
     const bytes = Buffer.concat(records.map(encodeRecord));
     try {
-      await writeWhole(this.file, bytes);
+      await writeAll(this.file, bytes);
       await this.file.datasync();
       this.size += bytes.length;
     } catch (error) {
@@ -124,7 +124,7 @@
 }
 
 function encodeRecord(record: LogRecord): Buffer {
-  return recordFile.encode(encoder.encode(record));
+  return recordCodec.encode(encoder.encode(record));
 }
 
 function decodeRecord(payload: Buffer, name: string): LogRecord {
--- a/src/state/write_whole.ts
+++ b/src/state/write_all.ts
@@ -15,7 +15,7 @@
  * @example
  * await writeWhole(file, bytes);
  */
-export async function writeWhole(
+export async function writeAll(
   file: WritableFile,
   bytes: Buffer,
 ): Promise<void> {
--- a/test/common/lease_clock.test.ts
+++ b/test/common/lease_clock.test.ts
@@ -15,7 +15,7 @@
   let wall = 1_700_000_000_000;
   const pauses: number[] = [];
   const clock = LeaseClock.create({
-    steady: {now: () => steady},
+    monotonic: {now: () => steady},
     wall: () => Math.floor(wall),
     onPause: pause => pauses.push(pause.steppedMs),
   });
--- a/test/common/throttled_lines.test.ts
+++ b/test/common/throttled_event_log.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {EventRing} from '../../src/common/event_ring';
-import {ThrottledLines} from '../../src/common/throttled_lines';
+import {ThrottledEventLog} from '../../src/common/throttled_event_log';
 
 const line = {
   type: 'refused',
@@ -12,7 +12,7 @@
 test('a storm of one kind leaves a line a second, which counts those left out, and hides no other kind', () => {
   const events = EventRing.create();
   let now = 0;
-  const lines = ThrottledLines.create(events, {now: () => now});
+  const lines = ThrottledEventLog.create(events, {now: () => now});
 
   lines.record('a', line);
   lines.record('a', line);
--- a/test/control/known_voters.test.ts
+++ b/test/control/known_voters.test.ts
@@ -4,7 +4,7 @@
 import {afterEach, describe, expect, test} from 'vitest';
 import {ControlServer} from '../../src/control/control_server';
 import {LogRecord} from '../../src/state/log_record';
-import {ControlDisk} from '../../src/state/control_disk';
+import {ControlDataFolder} from '../../src/state/control_data_folder';
 import {reservePort} from '../support/reserve_port';
 import {waitUntil} from '../support/wait_until';
 
@@ -32,7 +32,7 @@
 async function createMachine(): Promise<Machine> {
   const name = `127.0.0.1:${await reservePort()}`;
   const folder = mkdtempSync(path.join(tmpdir(), 'whinreel-voters-'));
-  const disk = await ControlDisk.create(folder, name);
+  const disk = await ControlDataFolder.create(folder, name);
   const {identity} = disk;
   await disk.close();
   return {name, folder, identity};
@@ -44,7 +44,7 @@
   founders: readonly Machine[],
   records: readonly LogRecord[],
 ): Promise<void> {
-  const disk = await ControlDisk.create(folder, name);
+  const disk = await ControlDataFolder.create(folder, name);
   const voters = Object.fromEntries(
     founders.map(founder => [founder.name, founder.identity]),
   );
--- a/test/control/raft_runtime.test.ts
+++ b/test/control/raft_runtime.test.ts
@@ -5,14 +5,14 @@
 import {systemClock} from '../../src/common/system_clock';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {defaultRaftTiming} from '../../src/coordination/agreement/default_raft_timing';
-import {ControlDisk} from '../../src/state/control_disk';
+import {ControlDataFolder} from '../../src/state/control_data_folder';
 import {waitUntil} from '../support/wait_until';
 
 async function openDisk(
   folder: string,
   snapshotIndex: number,
-): Promise<ControlDisk> {
-  const disk = await ControlDisk.create(folder, 'a');
+): Promise<ControlDataFolder> {
+  const disk = await ControlDataFolder.create(folder, 'a');
   const voters = {a: disk.identity};
   await disk.snapshots.save({
     index: snapshotIndex,
@@ -27,7 +27,7 @@
   return mkdtempSync(path.join(tmpdir(), 'whinreel-runtime-'));
 }
 
-function start(disk: ControlDisk, failures: Error[] = []): RaftRuntime {
+function start(disk: ControlDataFolder, failures: Error[] = []): RaftRuntime {
   return RaftRuntime.create({
     disk,
     clock: systemClock,
@@ -56,7 +56,7 @@
   const command = {type: 'start-term' as const, time: 0};
   await disk.log.append([{type: 'entry', entry: {index: 9, term: 1, command}}]);
   await disk.close();
-  const again = await ControlDisk.create(folder, 'a');
+  const again = await ControlDataFolder.create(folder, 'a');
 
   expect(() => start(again)).toThrow('entry 9 cannot follow 5');
   await again.close();
@@ -77,7 +77,7 @@
   await runtime.close();
   await disk.close();
 
-  const again = await ControlDisk.create(folder, 'a');
+  const again = await ControlDataFolder.create(folder, 'a');
   const restarted = start(again);
   await waitUntil('the lead', () => restarted.canAnswer());
   const hosts = Array.from({length: 30}, (_, at) => `h${at}`);
@@ -103,8 +103,8 @@
 
 test('a data folder of another control process is refused', async () => {
   const folder = createFolder();
-  const disk = await ControlDisk.create(folder, 'a');
-  await expect(ControlDisk.create(folder, 'b')).rejects.toThrow(
+  const disk = await ControlDataFolder.create(folder, 'a');
+  await expect(ControlDataFolder.create(folder, 'b')).rejects.toThrow(
     /belongs to "a", not to "b"/,
   );
   await disk.close();
--- a/test/control/target_table.test.ts
+++ b/test/control/target_table.test.ts
@@ -69,7 +69,7 @@
     engines.set(group(['a', 'b'], {name: 'g', epoch: 3}));
     register('a', open('g', 3));
     const tag = table.readTag(COMPLETE_AT);
-    engines.end('g', 3);
+    engines.markEnding('g', 3);
 
     expect(table.describeSince(tag, COMPLETE_AT)).toEqual({
       targets: [],
@@ -131,7 +131,7 @@
         () => register(head, open(name, epoch)),
         () => register(head),
         () => registry.remove(head),
-        () => engines.end(name, epoch),
+        () => engines.markEnding(name, epoch),
         () => (draw(3) === 0 ? engines.retire(`m${epoch}`) : undefined),
       ];
       acts[draw(acts.length)]();
--- a/test/platform/backend_starts.test.ts
+++ b/test/platform/backend_starts.test.ts
@@ -11,7 +11,7 @@
 import {OperatorApi} from '../../platform/operator_api';
 import {EventRing} from '../../src/common/event_ring';
 import {systemClock} from '../../src/common/system_clock';
-import {ThrottledLines} from '../../src/common/throttled_lines';
+import {ThrottledEventLog} from '../../src/common/throttled_event_log';
 import {ControlServer} from '../../src/control/control_server';
 import {ControlClient} from '../../src/protocol/control_client';
 import {reservePort} from '../support/reserve_port';
@@ -162,7 +162,7 @@
     const events = EventRing.create();
     const api = OperatorApi.create(
       client,
-      ThrottledLines.create(events, systemClock),
+      ThrottledEventLog.create(events, systemClock),
     );
     const address = await listen((request, response) =>
       api.handle(request, response),
--- a/test/platform/control_stops.test.ts
+++ b/test/platform/control_stops.test.ts
@@ -10,7 +10,7 @@
 import {OperatorApi} from '../../platform/operator_api';
 import {EventRing} from '../../src/common/event_ring';
 import {systemClock} from '../../src/common/system_clock';
-import {ThrottledLines} from '../../src/common/throttled_lines';
+import {ThrottledEventLog} from '../../src/common/throttled_event_log';
 import {ControlClient} from '../../src/protocol/control_client';
 import {reservePort} from '../support/reserve_port';
 import {waitUntil} from '../support/wait_until';
@@ -31,7 +31,7 @@
   });
   const api = OperatorApi.create(
     client,
-    ThrottledLines.create(EventRing.create(), systemClock),
+    ThrottledEventLog.create(EventRing.create(), systemClock),
   );
   let calls = 0;
   const server = http.createServer((request, response) => {
--- a/test/simulation/virtual_machine.ts
+++ b/test/simulation/virtual_machine.ts
@@ -10,7 +10,7 @@
 import {QuorumMember} from '../../src/control/quorum_member';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {Message} from '../../src/protocol/message';
-import {ControlDisk} from '../../src/state/control_disk';
+import {ControlDataFolder} from '../../src/state/control_data_folder';
 import {VirtualClocks} from './virtual_clocks';
 import {VirtualDisk} from './virtual_disk';
 import {Station, VirtualLinks, VirtualNet} from './virtual_links';
@@ -88,7 +88,7 @@
     const isAlive = () => this.start === start;
     const startedAt = this.clocks.steady.now();
     try {
-      const disk = await ControlDisk.create('/data', this.name, {
+      const disk = await ControlDataFolder.create('/data', this.name, {
         locksFolder: false,
         storage: this.disk.open(isAlive),
         createDiskId: () => `${this.disksUsed}`,
@@ -165,7 +165,7 @@
   }
 
   private run(
-    disk: ControlDisk,
+    disk: ControlDataFolder,
     isAlive: () => boolean,
     start: object,
     settings: ControlSettings,
@@ -173,7 +173,7 @@
     const {net, random, onFailure, onRole} = this.fleet;
     const clock: Clock = this.clocks.steady;
     const leaseClock = LeaseClock.create({
-      steady: clock,
+      monotonic: clock,
       wall: this.clocks.readWall,
     });
     const timers = this.createTimers(isAlive);
--- a/test/state/engine_tables.test.ts
+++ b/test/state/engine_tables.test.ts
@@ -56,22 +56,22 @@
     const {state, apply} = createState();
     expect(apply(accept(7)).isAccepted).toBe(true);
     expect(apply(accept(5)).isAccepted).toBe(false);
-    expect(state.channel.version).toBe(7);
+    expect(state.channelBundles.version).toBe(7);
   });
 
   test('other content under the version in force is not taken', () => {
     const {state, apply} = createState();
     apply(accept(7, 'first'));
     apply(accept(7, 'second'));
-    expect(state.channel.source).toBe('first');
+    expect(state.channelBundles.source).toBe('first');
   });
 
   test('a snapshot keeps what the operator sent to the byte', () => {
     const {state, apply} = createState();
     apply(accept(7, '{"version": 7 }'));
     const restored = ClusterState.create(state.save());
-    expect(restored.channel.source).toBe('{"version": 7 }');
-    expect(restored.channel.rules?.version).toBe(7);
+    expect(restored.channelBundles.source).toBe('{"version": 7 }');
+    expect(restored.channelBundles.rules?.version).toBe(7);
   });
 });
 
@@ -80,14 +80,14 @@
     const {state, apply} = createState();
     apply(accept(1));
     apply(set('g', ['a', 'b']));
-    expect(state.engines.list()[0].epoch).toBe(2);
+    expect(state.engineGroups.list()[0].epoch).toBe(2);
   });
 
   test('share no member', () => {
     const {state, apply} = createState();
     apply(set('g', ['a', 'b']));
     expect(apply(set('h', ['b', 'c'])).isAccepted).toBe(false);
-    expect(state.engines.list()).toHaveLength(1);
+    expect(state.engineGroups.list()).toHaveLength(1);
   });
 
   test('are changed only under the epoch that is meant', () => {
@@ -98,7 +98,7 @@
     expect(apply(change('end-engine-group', 'g', 1)).isAccepted).toBe(false);
     apply(change('end-engine-group', 'g', 2));
     apply(change('release-engine-group', 'g', 2));
-    expect(state.engines.list()[0]).toMatchObject({
+    expect(state.engineGroups.list()[0]).toMatchObject({
       isEnding: true,
       isReleased: true,
     });
@@ -110,8 +110,8 @@
     const incarnation = 'x';
     apply({type: 'retire-backend', time: 0, incarnation, reason: 'test'});
     const restored = ClusterState.create(state.save());
-    expect(restored.engines.list()).toEqual(state.engines.list());
-    expect(restored.engines.isRetired('x')).toBe(true);
+    expect(restored.engineGroups.list()).toEqual(state.engineGroups.list());
+    expect(restored.engineGroups.isRetired('x')).toBe(true);
   });
 
   test('leave their reasons in the journal', () => {
--- a/test/state/suspect_table.test.ts
+++ b/test/state/suspect_table.test.ts
@@ -101,14 +101,14 @@
   test('that ran to its end is cleared, also where one like it is convicted', () => {
     const {table, end, wait, standing, convict} = start();
     end('i1', ['p', 'h1']);
-    table.clear('h1');
+    table.clearSuspect('h1');
     expect(standing('h1')).toBeUndefined();
     wait(500);
     end('i2', ['p']);
     convict('p');
-    table.clear('p');
+    table.clearSuspect('p');
     expect(standing('p')).toBeUndefined();
-    expect(table.takeNotes().map(({type}) => type)).toEqual([
+    expect(table.takeVerdictChanges().map(({type}) => type)).toEqual([
       'request-convicted',
       'verdict-lifted',
     ]);
@@ -120,9 +120,9 @@
     wait(500);
     end('i2', ['p']);
     convict('p');
-    expect(table.revoke('p', 'ordered')).toBe(true);
+    expect(table.revokeVerdict('p', 'ordered')).toBe(true);
     expect(standing('p')).toBeUndefined();
-    expect(table.revoke('p', 'ordered')).toBe(false);
+    expect(table.revokeVerdict('p', 'ordered')).toBe(false);
   });
 
   test('is convicted of two ends once it is known that another one ended what ended near', () => {
@@ -145,9 +145,9 @@
     wait(500);
     end('i2', ['p']);
     convict('p');
-    table.withdraw('i2');
+    table.withdrawCrash('i2');
     expect(standing('p')).toBe('suspected');
-    table.withdraw('i1');
+    table.withdrawCrash('i1');
     expect(standing('p')).toBeUndefined();
   });
 
@@ -172,7 +172,7 @@
     expect(grant('q', 'i2')).toBe('busy');
     expect(grant('q', 'i1')).toBe('busy');
     expect(grant('q', 'i3')).toBe('granted');
-    table.release('p');
+    table.endTrial('p');
     expect(grant('p', 'i2')).toBe('granted');
   });
 
@@ -203,7 +203,7 @@
     wait(500);
     end('i2', ['p']);
     convict('p');
-    expect(table.describeSince(version)).toEqual({
+    expect(table.listChangesSince(version)).toEqual({
       version: table.version,
       isWhole: false,
       suspected: [],
@@ -211,8 +211,10 @@
       freed: ['h1'],
     });
     const copy = SuspectTable.create(table.save());
-    expect(copy.describeSince(0)).toEqual(table.describeSince(0));
-    expect(copy.describeSince(version)).toEqual(table.describeSince(version));
+    expect(copy.listChangesSince(0)).toEqual(table.listChangesSince(0));
+    expect(copy.listChangesSince(version)).toEqual(
+      table.listChangesSince(version),
+    );
   });
 
   test('forgets of a caller with too many first, mere presence before verdicts', () => {
@@ -257,13 +259,13 @@
         const acts = {
           end: () =>
             begun ? end(`i${server}`, [], callers) : end(`i${server}`, callers),
-          clear: () => table.clear(callers[0]),
-          release: () => table.release(callers[0]),
+          clear: () => table.clearSuspect(callers[0]),
+          release: () => table.endTrial(callers[0]),
           trial: () => grant(callers[0], `i${server}`),
-          withdraw: () => table.withdraw(`i${server}`),
+          withdraw: () => table.withdrawCrash(`i${server}`),
         };
         acts[kind]();
-        const news = table.describeSince(version);
+        const news = table.listChangesSince(version);
         if (news.isWhole) {
           held.clear();
         }
--- a/test/state/write_whole.test.ts
+++ b/test/state/write_all.test.ts
@@ -6,7 +6,7 @@
  * that is one write is there, missing, or cut short, and each of these is read.
  */
 import {expect, test} from 'vitest';
-import {writeWhole} from '../../src/state/write_whole';
+import {writeAll} from '../../src/state/write_all';
 
 const MEGABYTE = 1024 * 1024;
 
@@ -27,7 +27,7 @@
   const {file, writes, read} = createFile(Infinity);
   const bytes = Buffer.alloc(3 * MEGABYTE, 'x');
 
-  await writeWhole(file, bytes);
+  await writeAll(file, bytes);
 
   expect(writes).toEqual([3 * MEGABYTE]);
   expect(read().equals(bytes)).toBe(true);
@@ -36,7 +36,7 @@
 test('what a write did not take goes into the next', async () => {
   const {file, writes, read} = createFile(4);
 
-  await writeWhole(file, Buffer.from('abcdefghij'));
+  await writeAll(file, Buffer.from('abcdefghij'));
 
   expect(writes).toEqual([10, 6, 2]);
   expect(read().toString()).toBe('abcdefghij');
--- a/test/support/crash_control.ts
+++ b/test/support/crash_control.ts
@@ -48,7 +48,7 @@
   tell(gateway: Gateway): void {
     const {random, newsMs} = this.options;
     this.time.after(random() * newsMs, () => {
-      gateway.containment.apply(this.table.describeSince(0));
+      gateway.containment.apply(this.table.listChangesSince(0));
       gateway.isReady = true;
     });
   }
@@ -59,8 +59,8 @@
         this.answer(() => {
           const now = this.time.now();
           crashes.forEach(crash => this.table.recordCrash(crash, now));
-          released.forEach(name => this.table.release(name));
-          cleared.forEach(name => this.table.clear(name));
+          released.forEach(name => this.table.endTrial(name));
+          cleared.forEach(name => this.table.clearSuspect(name));
           this.recordVerdicts();
         }),
       askTrial: (name, incarnation) =>
@@ -89,7 +89,7 @@
   }
 
   private recordVerdicts(): void {
-    for (const {name, type} of this.table.takeNotes()) {
+    for (const {name, type} of this.table.takeVerdictChanges()) {
       if (type === 'request-convicted') {
         this.decidedAt.set(name, this.time.now());
       }
@@ -103,7 +103,7 @@
     const {random, newsMs} = this.options;
     for (const gateway of this.listGateways()) {
       this.time.after(1 + random() * newsMs, () => {
-        gateway.containment.apply(this.table.describeSince(0));
+        gateway.containment.apply(this.table.listChangesSince(0));
         this.recordKnown(gateway);
       });
     }
