--- a/src/common/cancel.ts
+++ b/src/common/cancel.ts
@@ -1,2 +1,2 @@
-/** Ends what was set going. */
+/** Cancels a scheduled callback. */
 export type Cancel = () => void;
--- a/src/common/clock.ts
+++ b/src/common/clock.ts
@@ -1,8 +1,5 @@
-/**
- * A monotonic clock. Decisions take the time from outside, so that tests can
- * drive them with a virtual clock.
- */
+/** A monotonic clock, injected so that tests can use virtual time. */
 export interface Clock {
-  /** Milliseconds since an arbitrary fixed point; never goes back. */
+  /** Milliseconds since an arbitrary fixed point; never decreases. */
   now(): number;
 }
--- a/src/common/event_ring.ts
+++ b/src/common/event_ring.ts
@@ -1,27 +1,27 @@
 import {PushSource} from './push_source';
 import {SystemEvent} from './system_event';
 
-/** An event with its place and time in this process. */
+/** An event with its sequence number and time in this process. */
 interface RecordedEvent extends SystemEvent {
   readonly sequence: number;
-  /** Wall-clock time as ISO 8601, for people; never used in decisions. */
+  /** Wall-clock time in ISO 8601, for display only; decisions never use it. */
   readonly time: string;
 }
 
 const DEFAULT_CAPACITY = 2_000;
 
-/** Keeps the newest events of a process in memory and streams new ones. */
+/** An in-memory buffer of the newest events of a process, with a stream of new ones. */
 export class EventRing {
-  private readonly recorded = PushSource.create<RecordedEvent>();
-  /** Events as they are recorded. */
-  readonly stream = this.recorded.stream;
+  private readonly source = PushSource.create<RecordedEvent>();
+  /** Emits each event when it is recorded. */
+  readonly stream = this.source.stream;
   private events: RecordedEvent[] = [];
   private sequence = 0;
 
   private constructor(private readonly capacity: number) {}
 
   /**
-   * Creates a ring that holds at most `capacity` events.
+   * Creates an empty buffer that retains at least the newest `capacity` events.
    *
    * @example
    * const ring = EventRing.create();
@@ -31,7 +31,7 @@
     return new EventRing(capacity);
   }
 
-  /** Records an event and delivers it to subscribers. */
+  /** Stores an event and emits it to subscribers. */
   record(event: SystemEvent): void {
     this.sequence += 1;
     const recorded = {
@@ -40,10 +40,11 @@
       time: new Date().toISOString(),
     };
     this.events.push(recorded);
+    // Trims only at twice the capacity, so that not every event copies the array.
     if (this.events.length > this.capacity * 2) {
       this.events = this.events.slice(-this.capacity);
     }
-    this.recorded.push(recorded);
+    this.source.push(recorded);
   }
 
   /** Lists the events after a sequence number, oldest first. */
--- a/src/common/lease_clock.ts
+++ b/src/common/lease_clock.ts
@@ -1,104 +1,105 @@
 /**
- * A clock for rights that somebody else relies on. The steady clock does not count
- * the time for which a machine is suspended, so that a lease is too young by its
- * length; the time of day does count it, and is set as well. Where the two part,
- * this clock takes the reading that ends leases: no time is ever counted too short.
+ * A clock for the holder of a lease. The monotonic clock doesn't advance while a
+ * machine is suspended, so by that clock a lease would appear too young; the wall clock
+ * does advance, but it can also be set. Where the two diverge, this clock takes the
+ * reading that makes leases expire earlier: it never measures an interval too short.
  *
- * Whoever has promised something for a while must go by the steady clock instead:
- * that one never counts too long.
+ * The grantor of a lease must use the monotonic clock instead, which never measures
+ * an interval too long.
  */
 import {Clock} from './clock';
 
 /**
- * Beyond this the clocks have parted: the time of day counts whole milliseconds and
- * is kept right by some 0.5 ms a second, and it is looked at every 20 ms or so.
+ * A larger difference means a suspension or a clock step. Normal operation stays far
+ * below: the wall clock has a resolution of 1 ms, is slewed by about 0.5 ms a second,
+ * and is read about every 20 ms.
  */
-const PARTED_MS = 50;
-/** A step back may hide a suspension of any length: longer than any lease. */
-const UNKNOWN_MS = 60_000;
-/** A moment between two readings is no difference between clocks; more is read again. */
-const SAME_MOMENT_MS = 2;
+const MAX_DIVERGENCE_MS = 50;
+/** Added after a step back, which may hide a suspension of any length; longer than any lease. */
+const UNKNOWN_PAUSE_MS = 60_000;
+/** Both clocks are read again if reading them took longer, because the delay would count as divergence. */
+const MAX_READ_GAP_MS = 2;
 const MAX_READINGS = 3;
 
-/** What was seen when the clocks parted. */
+/** A divergence of the two clocks. */
 interface Pause {
-  /** How much further the time of day is than the steady clock went; below 0 for a step back. */
+  /** How far the wall clock advanced beyond the monotonic clock; negative for a step back. */
   readonly steppedMs: number;
-  /** What is counted for it. */
+  /** How much this clock advances for it. */
   readonly countedMs: number;
 }
 
-/** What the clock goes by. */
+/** The underlying clocks. */
 interface LeaseClockOptions {
   readonly monotonic: Clock;
-  /** Milliseconds of the time of day. */
+  /** Wall-clock milliseconds. */
   readonly wall: () => number;
-  /** Told at the first look after the clocks have parted. */
+  /** Called by the first reading after the clocks diverged. */
   readonly onPause?: (pause: Pause) => void;
 }
 
-/** Looks at both clocks whenever it is asked, so that what wakes needs no timer to notice. */
+/** Compares both clocks at each reading, so a resumed process detects the pause without a timer. */
 export class LeaseClock implements Clock {
-  /** Time of day less steady time, as of the last parting. */
-  private offset: number;
-  private uncountedMs = 0;
-  private newest = -Infinity;
-  private newestPauseAt = -Infinity;
+  /** Wall-clock time minus monotonic time, as of the last divergence. */
+  private wallOffset: number;
+  private addedMs = 0;
+  private lastReading = -Infinity;
+  private lastPauseAt = -Infinity;
 
   private constructor(private readonly options: LeaseClockOptions) {
-    const {steady, wall} = this.readBoth();
-    this.offset = wall - steady;
+    const {monotonic, wall} = this.readBoth();
+    this.wallOffset = wall - monotonic;
   }
 
   /**
-   * Creates a clock that has missed nothing yet.
+   * Creates a clock that takes the current offset between both clocks as its reference.
    *
    * @example
-   * const clock = LeaseClock.create({steady: systemClock, wall: () => Date.now()});
-   * const isHeld = clock.now() - askedAt < leaseMs;
+   * const clock = LeaseClock.create({monotonic: systemClock, wall: () => Date.now()});
+   * const isHeld = clock.now() - requestedAt < leaseMs;
    */
   static create(options: LeaseClockOptions): LeaseClock {
     return new LeaseClock(options);
   }
 
-  /** Milliseconds that never lag behind true time by more than a moment; never goes back. */
+  /** Milliseconds that advance at least as fast as real time, within the resolution of the clocks; never decreases. */
   readonly now = (): number => this.read();
 
-  /** When this process last woke to clocks that had parted, on the steady clock: nothing from before it may be relied on. */
+  /** Monotonic time at which the last divergence was detected; leases confirmed before it must not be relied on. */
   get pausedAt(): number {
     this.read();
-    return this.newestPauseAt;
+    return this.lastPauseAt;
   }
 
   private read(): number {
-    const {steady, wall} = this.readBoth();
-    const steppedMs = wall - steady - this.offset;
-    if (Math.abs(steppedMs) > PARTED_MS) {
-      this.recordPause(steady, steppedMs);
+    const {monotonic, wall} = this.readBoth();
+    const steppedMs = wall - monotonic - this.wallOffset;
+    if (Math.abs(steppedMs) > MAX_DIVERGENCE_MS) {
+      this.recordPause(monotonic, steppedMs);
     }
-    // What is not worth a word yet counts all the same.
-    const slightMs = Math.max(0, wall - steady - this.offset);
-    const now = steady + this.uncountedMs + slightMs;
-    this.newest = Math.max(this.newest, now);
-    return this.newest;
+    // A divergence below the threshold isn't reported, but still counted.
+    const unreportedMs = Math.max(0, wall - monotonic - this.wallOffset);
+    const now = monotonic + this.addedMs + unreportedMs;
+    this.lastReading = Math.max(this.lastReading, now);
+    return this.lastReading;
   }
 
-  private recordPause(steady: number, steppedMs: number): void {
-    const countedMs = steppedMs > 0 ? steppedMs : UNKNOWN_MS;
-    this.offset += steppedMs;
-    this.uncountedMs += countedMs;
-    this.newestPauseAt = steady;
+  private recordPause(monotonic: number, steppedMs: number): void {
+    const countedMs = steppedMs > 0 ? steppedMs : UNKNOWN_PAUSE_MS;
+    this.wallOffset += steppedMs;
+    this.addedMs += countedMs;
+    this.lastPauseAt = monotonic;
     this.options.onPause?.({steppedMs, countedMs});
   }
 
-  private readBoth(): {steady: number; wall: number} {
+  private readBoth(): {monotonic: number; wall: number} {
     const {options} = this;
     for (let reading = 1; ; reading += 1) {
       const before = options.monotonic.now();
       const wall = options.wall();
       const tookMs = options.monotonic.now() - before;
-      if (tookMs < SAME_MOMENT_MS || reading === MAX_READINGS) {
-        return {steady: before, wall};
+      if (tookMs < MAX_READ_GAP_MS || reading === MAX_READINGS) {
+        return {monotonic: before, wall};
       }
     }
   }
--- a/src/common/push_source.ts
+++ b/src/common/push_source.ts
@@ -1,8 +1,8 @@
 /**
- * A stream that is fed by hand and delivers at once.
+ * A stream with an imperative `push` method that emits synchronously.
  *
- * `most.fromEvent` delivers on a later turn of the loop, which loses the order
- * against other work; this source calls its sinks within `push`.
+ * `most.fromEvent` emits in a later turn of the event loop, so events can be reordered
+ * relative to other work; this source calls its sinks within `push`.
  */
 import {Disposable, Scheduler, Sink, Stream} from 'most';
 
@@ -11,24 +11,22 @@
   readonly scheduler: Scheduler;
 }
 
-/** How a source behaves before anybody listens. */
+/** How a source behaves without subscribers. */
 interface PushSourceOptions {
-  /** Keeps values for the first subscriber; otherwise they are dropped. */
+  /** Whether values are buffered until the first subscriber arrives; otherwise they are dropped. */
   readonly buffersUntilObserved?: boolean;
 }
 
-/** Feeds values into a `most` stream synchronously. */
+/** Emits pushed values synchronously on a `most` stream. */
 export class PushSource<T> {
-  /** The values pushed after a subscriber arrived. */
+  /** The pushed values; a subscriber gets those pushed after it subscribed, and the first one the buffered ones too. */
   readonly stream: Stream<T>;
   private readonly subscriptions = new Set<Subscription<T>>();
-  private kept: T[] | undefined;
+  private buffered: T[] | undefined;
   private isEnded = false;
 
-  private constructor({
-    buffersUntilObserved: keepsUntilObserved = false,
-  }: PushSourceOptions) {
-    this.kept = keepsUntilObserved ? [] : undefined;
+  private constructor({buffersUntilObserved = false}: PushSourceOptions) {
+    this.buffered = buffersUntilObserved ? [] : undefined;
     this.stream = new Stream<T>({
       run: (sink, scheduler) => this.subscribe(sink, scheduler),
     });
@@ -46,10 +44,10 @@
     return new PushSource<T>(options);
   }
 
-  /** Delivers one value to every subscriber before it returns. */
+  /** Emits a value to all subscribers before it returns. */
   push(value: T): void {
-    if (this.kept) {
-      this.kept.push(value);
+    if (this.buffered) {
+      this.buffered.push(value);
       return;
     }
     for (const {sink, scheduler} of this.subscriptions) {
@@ -60,9 +58,9 @@
   /** Ends the stream. Values pushed later are dropped. */
   end(): void {
     this.isEnded = true;
-    const ended = [...this.subscriptions];
+    const subscriptions = [...this.subscriptions];
     this.subscriptions.clear();
-    for (const {sink, scheduler} of ended) {
+    for (const {sink, scheduler} of subscriptions) {
       sink.end(scheduler.now());
     }
   }
@@ -70,7 +68,7 @@
   private subscribe(sink: Sink<T>, scheduler: Scheduler): Disposable<T> {
     const subscription = {sink, scheduler};
     this.subscriptions.add(subscription);
-    this.releaseKept();
+    this.flushBuffered();
     if (this.isEnded) {
       this.end();
     }
@@ -82,9 +80,9 @@
     } as unknown as Disposable<T>;
   }
 
-  private releaseKept(): void {
-    const kept = this.kept ?? [];
-    this.kept = undefined;
-    kept.forEach(value => this.push(value));
+  private flushBuffered(): void {
+    const buffered = this.buffered ?? [];
+    this.buffered = undefined;
+    buffered.forEach(value => this.push(value));
   }
 }
--- a/src/common/rate_limit_event_log.ts
+++ b/src/common/rate_limit_event_log.ts
@@ -1,42 +1,43 @@
-/** The lines that processes write about limits which backend servers name. */
+/** Records events about the rate limits that backend servers advertise. */
 import {Clock} from './clock';
 import {EventRing} from './event_ring';
 import {SystemEvent} from './system_event';
 import {ThrottledEventLog} from './throttled_event_log';
 
-/** What became known of a limit. */
-interface LimitNews {
+/** A rate limit that a backend server advertised, changed or withdrew. */
+interface RateLimitChange {
   readonly incarnation: string;
-  /** Requests a second; null where none is named any more. */
+  /** Requests a second; null if the backend server advertises no limit any more. */
   readonly perSecond: number | null;
+  /** The previous limit, in requests a second. */
   readonly before: number | undefined;
   readonly reason: string;
   readonly details: NonNullable<SystemEvent['details']>;
 }
 
-/** One line for each limit that is named or ends; figures may change with each answer, so they share one line a second. */
+/** Records each new and ended limit; changed values, which can come with every response, at most once a second. */
 export class RateLimitEventLog {
-  private readonly changes: ThrottledEventLog;
+  private readonly throttled: ThrottledEventLog;
 
   private constructor(
     private readonly events: EventRing,
     clock: Clock,
   ) {
-    this.changes = ThrottledEventLog.create(events, clock);
+    this.throttled = ThrottledEventLog.create(events, clock);
   }
 
   /**
-   * Creates lines that write into `events`.
+   * Creates a log that records into `events`.
    *
    * @example
-   * const lines = LimitLines.create(events, clock);
+   * const log = RateLimitEventLog.create(events, clock);
    */
   static create(events: EventRing, clock: Clock): RateLimitEventLog {
     return new RateLimitEventLog(events, clock);
   }
 
-  record(news: LimitNews): void {
-    const {incarnation, perSecond, before, reason, details} = news;
+  record(change: RateLimitChange): void {
+    const {incarnation, perSecond, before, reason, details} = change;
     const isEnd = perSecond === null;
     const kind = isEnd ? 'ended' : before === undefined ? 'named' : 'changed';
     const event = {
@@ -51,7 +52,7 @@
       },
     };
     if (kind === 'changed') {
-      this.changes.record(event.type, event);
+      this.throttled.record(event.type, event);
     } else {
       this.events.record(event);
     }
--- a/src/common/record_pause.ts
+++ b/src/common/record_pause.ts
@@ -6,10 +6,10 @@
 >[0];
 
 /**
- * Writes that this process was away, or that its time of day was set.
+ * Records that this process was suspended or its wall clock was set.
  *
  * @example
- * LeaseClock.create({steady, wall, onPause: pause => recordPause(events, 'control', id, pause)});
+ * LeaseClock.create({monotonic, wall, onPause: pause => recordPause(events, 'control', id, pause)});
  */
 export function recordPause(
   events: EventRing,
--- a/src/common/run_graceful_shutdown.ts
+++ b/src/common/run_graceful_shutdown.ts
@@ -1,60 +1,62 @@
-/** The steps of a planned stop, alike in every program that answers callers. */
+/** Graceful shutdown, shared by all processes that serve requests. */
 import {Clock} from './clock';
 import {ShutdownSchedule} from './shutdown_schedule';
 
-/** Between two looks at what is under way. */
-const LOOK_EVERY_MS = 20;
-/** How long final answers may take to leave after the time was over, in milliseconds. */
-const LAST_ANSWERS_MS = 100;
+/** Interval between two checks for requests in progress. */
+const POLL_INTERVAL_MS = 20;
+/** Time for sending the final responses of abandoned requests. */
+const FINAL_RESPONSES_MS = 100;
 
-/** What a program does at each step. */
-interface StopSteps {
+/** The process-specific parts of a graceful shutdown. */
+interface ShutdownSteps {
   readonly schedule: ShutdownSchedule;
   readonly clock: Clock;
-  /** Requests that were taken and whose answers have not left whole, to the last byte. */
+  /** Counts accepted requests whose responses have not been sent completely. */
   readonly countTaken: () => number;
-  /** Requests that were read and not answered, those being refused among them. */
+  /** Counts requests without a complete response, including those being refused. */
   readonly countOpen: () => number;
-  /** From now on a new connection meets a closed port, and its caller goes elsewhere. */
+  /** Closes the listening port, so that new connections are refused and callers try another process. */
   readonly stopAccepting: () => void;
-  /** Ends what is still worked on, each with its final answer. */
+  /** Abandons all requests in progress and sends each a final response. */
   readonly giveUp: () => void;
 }
 
-/** How a stop ended. */
-interface StopEnd {
-  /** Requests that were given up. */
+/** How a shutdown ended. */
+interface ShutdownResult {
+  /** Number of requests that were abandoned. */
   readonly givenUp: number;
 }
 
 /**
- * Waits until what was taken has left whole, then until what else was read is
- * answered, and gives up what is left when the time is over. The caller closes
- * the rest after that.
+ * Waits until all accepted requests have their responses and the notice period is
+ * over, stops accepting connections, and waits for the responses to the remaining requests.
+ * Abandons what is left when the time is up. Connections are left to the caller to close.
  *
- * @returns how it ended
+ * @returns how the shutdown ended
  * @example
- * const {givenUp} = await runStop({schedule, clock, countTaken, countOpen, stopAccepting, giveUp});
+ * const {givenUp} = await runGracefulShutdown({schedule, clock, countTaken, countOpen, stopAccepting, giveUp});
  */
-export async function runGracefulShutdown(steps: StopSteps): Promise<StopEnd> {
+export async function runGracefulShutdown(
+  steps: ShutdownSteps,
+): Promise<ShutdownResult> {
   const {schedule, clock, countTaken, countOpen} = steps;
   schedule.start(clock.now());
-  const isOver = () => schedule.isTimeUp(clock.now());
-  const isFinished = () =>
+  const isTimeUp = () => schedule.isTimeUp(clock.now());
+  const isDrained = () =>
     schedule.isNoticePeriodOver(clock.now()) && countTaken() === 0;
-  // Refusals do not count here: callers that go on coming would hold the stop.
-  await waitUntil(() => isFinished() || isOver());
+  // Requests being refused don't count here: a steady stream of them would delay the shutdown.
+  await waitUntil(() => isDrained() || isTimeUp());
   steps.stopAccepting();
-  await waitUntil(() => countOpen() === 0 || isOver());
+  await waitUntil(() => countOpen() === 0 || isTimeUp());
   const givenUp = countTaken();
   steps.giveUp();
-  const until = clock.now() + LAST_ANSWERS_MS;
-  await waitUntil(() => countOpen() === 0 || clock.now() >= until);
+  const responseDeadline = clock.now() + FINAL_RESPONSES_MS;
+  await waitUntil(() => countOpen() === 0 || clock.now() >= responseDeadline);
   return {givenUp};
 }
 
-async function waitUntil(probe: () => boolean): Promise<void> {
-  while (!probe()) {
-    await new Promise(resolve => setTimeout(resolve, LOOK_EVERY_MS));
+async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) {
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/src/common/shutdown_schedule.ts
+++ b/src/common/shutdown_schedule.ts
@@ -1,73 +1,80 @@
-/** What a process that was told to stop still takes, and when it must have ended. */
+/** Decides which requests a process still accepts during shutdown, and when it must abandon the rest. */
 
-/** Balancers ask once a second and act on the second miss; what comes later knows that this process stops, or has nowhere else to go. */
-const NOTICE_MS = 2_500;
-/** Kept for last answers on their way, between the end of work and the end by force. */
+/**
+ * Load balancers check health once a second and act on the second failure. A request
+ * that still arrives later comes from a caller that knows of the shutdown, or has no
+ * other process to go to.
+ */
+const NOTICE_PERIOD_MS = 2_500;
+/** Reserved for sending the last responses, between abandoning work and being killed. */
 const END_MARGIN_MS = 700;
-/** Never more than this part of a short stop, so that work has most of it. */
+/** Upper limit of the margin as a share of the timeout, so that requests get most of a short one. */
 const END_MARGIN_SHARE = 1 / 8;
 
-/** How long a stop may take. */
-interface StopScheduleOptions {
-  /** From the signal to the end by force, in milliseconds. */
+/** Time limits of a shutdown. */
+interface ShutdownScheduleOptions {
+  /** From the signal until the process is killed, in milliseconds. */
   readonly timeoutMs: number;
-  /** While callers may not know yet, in milliseconds. */
+  /** How long callers may be unaware of the shutdown, in milliseconds. */
   readonly noticePeriodMs?: number;
 }
 
-/** The schedule of one planned stop; times are of the process's monotonic clock. */
+/** The schedule of one graceful shutdown, on the process's monotonic clock. */
 export class ShutdownSchedule {
-  private toldAt: number | undefined;
+  private startedAt: number | undefined;
 
-  private constructor(private readonly options: StopScheduleOptions) {}
+  private constructor(private readonly options: ShutdownScheduleOptions) {}
 
   /**
-   * Creates the schedule of a process that was not told to stop.
+   * Creates a schedule that has not started.
    *
    * @example
-   * const schedule = StopSchedule.create({withinMs: 8000});
+   * const schedule = ShutdownSchedule.create({timeoutMs: 8000});
    */
-  static create(options: StopScheduleOptions): ShutdownSchedule {
+  static create(options: ShutdownScheduleOptions): ShutdownSchedule {
     return new ShutdownSchedule(options);
   }
 
-  /** The process was told to stop; a second time changes nothing. */
+  /** Starts the shutdown; later calls have no effect. */
   start(now: number): void {
-    this.toldAt ??= now;
+    this.startedAt ??= now;
   }
 
   get hasStarted(): boolean {
-    return this.toldAt !== undefined;
+    return this.startedAt !== undefined;
   }
 
   /**
-   * True for work that will be finished before the end. Taking ends when callers
-   * have noticed, since at a steady rate there would always be work under way.
+   * Whether a request should be accepted: before the shutdown always, and later if
+   * it can finish in time and the notice period is not over. After that period
+   * nothing is accepted, since at a steady rate the process would never drain.
    *
-   * @param longestMs the longest that such work took lately
+   * @param longestMs the longest recent duration of such requests
    */
   canAccept(now: number, longestMs: number): boolean {
-    if (this.toldAt === undefined) {
+    if (this.startedAt === undefined) {
       return true;
     }
-    const isInTime = now + longestMs < this.endsAt;
+    const isInTime = now + longestMs < this.deadline;
     return isInTime && !this.isNoticePeriodOver(now);
   }
 
-  /** True once everybody who asks has noticed the stop. */
+  /** Whether all callers that check health have noticed the shutdown. */
   isNoticePeriodOver(now: number): boolean {
-    const {noticePeriodMs: noticeMs = NOTICE_MS} = this.options;
-    return this.toldAt !== undefined && now - this.toldAt >= noticeMs;
+    const {noticePeriodMs = NOTICE_PERIOD_MS} = this.options;
+    return (
+      this.startedAt !== undefined && now - this.startedAt >= noticePeriodMs
+    );
   }
 
-  /** True when what is still under way must be given up. */
+  /** Whether requests still in progress must be abandoned. */
   isTimeUp(now: number): boolean {
-    return now >= this.endsAt;
+    return now >= this.deadline;
   }
 
-  private get endsAt(): number {
-    const {timeoutMs: withinMs} = this.options;
-    const marginMs = Math.min(END_MARGIN_MS, withinMs * END_MARGIN_SHARE);
-    return (this.toldAt ?? Infinity) + withinMs - marginMs;
+  private get deadline(): number {
+    const {timeoutMs} = this.options;
+    const marginMs = Math.min(END_MARGIN_MS, timeoutMs * END_MARGIN_SHARE);
+    return (this.startedAt ?? Infinity) + timeoutMs - marginMs;
   }
 }
--- a/src/common/system_event.ts
+++ b/src/common/system_event.ts
@@ -1,17 +1,17 @@
 /**
- * A typed event: a change of state or a decision that somebody may ask about
- * later. Reporters consume it; core code never prints.
+ * A structured event: a state change or a decision that an operator may look up
+ * later. Code outside the reporters records events and never prints.
  */
 export interface SystemEvent {
-  /** What happened, in kebab case, for example `group-formed`. */
+  /** The type of event in kebab case, for example `group-formed`. */
   readonly type: string;
-  /** The kind of thing that it happened to. */
+  /** The kind of object that it is about. */
   readonly subject:
     'request' | 'group' | 'host' | 'bundle' | 'control' | 'claim' | 'process';
-  /** Which one of that kind. */
+  /** The id of that object. */
   readonly id: string;
-  /** Why, in one sentence for an operator. */
+  /** The cause, in one sentence for an operator. */
   readonly reason: string;
-  /** Figures that the decision was made from. */
+  /** The values that the decision was based on. */
   readonly details?: Readonly<Record<string, string | number | boolean>>;
 }
--- a/src/common/system_timers.ts
+++ b/src/common/system_timers.ts
@@ -1,18 +1,18 @@
 import {Timers} from './timers';
 
-/** The timers of this process. */
+/** Timers of the Node.js event loop. */
 export const systemTimers: Timers = {
-  repeat(ms, act) {
-    const timer = setInterval(act, ms);
+  repeat(ms, callback) {
+    const timer = setInterval(callback, ms);
     return () => clearInterval(timer);
   },
 
-  delay(ms, act) {
-    const timer = setTimeout(act, ms);
+  delay(ms, callback) {
+    const timer = setTimeout(callback, ms);
     return () => clearTimeout(timer);
   },
 
-  defer(act) {
-    setImmediate(act);
+  defer(callback) {
+    setImmediate(callback);
   },
 };
--- a/src/common/timers.ts
+++ b/src/common/timers.ts
@@ -1,11 +1,11 @@
 import {Cancel} from './cancel';
 
-/** Lets things happen later. Machinery that waits takes it from outside, so that a simulation can drive it. */
+/** Schedules callbacks; injected so that simulations can use virtual time. */
 export interface Timers {
-  /** Calls again and again, every `ms` milliseconds. */
-  repeat(ms: number, act: () => void): Cancel;
-  /** Calls once, after `ms` milliseconds. */
-  delay(ms: number, act: () => void): Cancel;
-  /** Calls once, after what is under way now. */
-  defer(act: () => void): void;
+  /** Calls back every `ms` milliseconds until cancelled. */
+  repeat(ms: number, callback: () => void): Cancel;
+  /** Calls back once, after `ms` milliseconds, unless cancelled. */
+  delay(ms: number, callback: () => void): Cancel;
+  /** Calls back once, after the current work, in a later turn of the event loop. */
+  defer(callback: () => void): void;
 }
--- a/src/common/wait_for.ts
+++ b/src/common/wait_for.ts
@@ -1,7 +1,7 @@
 import {Timers} from './timers';
 
 /**
- * Resolves after some milliseconds.
+ * Resolves after `ms` milliseconds of these timers.
  *
  * @example
  * await waitFor(systemTimers, 100);
--- a/src/state/bundle_table.ts
+++ b/src/state/bundle_table.ts
@@ -1,4 +1,4 @@
-/** Accepted bundles: the newest in full, the earlier ones by version and digest. */
+/** Accepted bundles: the newest in full, earlier ones by version and digest only. */
 import {z} from 'zod';
 import {computeDigest} from '../protocol/compute_digest';
 import {SignedBundle} from '../protocol/signed_bundle';
@@ -18,7 +18,7 @@
   signed: SignedBundle.optional(),
 });
 
-/** Accepts a bundle only as the successor of the one in force. */
+/** Accepts a bundle only if it directly succeeds the one in force. */
 export class BundleTable {
   private document: Bundle | undefined;
 
@@ -46,12 +46,12 @@
     return this.document;
   }
 
-  /** The bundle in force, as its operator signed it. */
+  /** The bundle in force with its signature. */
   get signed(): SignedBundle | undefined {
     return this.signedBundle;
   }
 
-  /** Version in force; 0 before the first. */
+  /** Version in force; 0 if there is none yet. */
   get version(): number {
     return this.history.at(-1)?.version ?? 0;
   }
@@ -61,7 +61,10 @@
     return this.history;
   }
 
-  /** Accepts, repeats an earlier answer, or says who won. */
+  /**
+   * Accepts the next version. A bundle that was accepted before gets the same answer
+   * again; a refusal names the version that is in force.
+   */
   rollOut(signed: SignedBundle, time: number): CommandResult {
     const bundle = Bundle.parse(JSON.parse(signed.document));
     const digest = computeDigest(signed.document);
@@ -86,7 +89,7 @@
     return {isAccepted: true, reason: 'accepted', bundle: accepted};
   }
 
-  /** The table as plain data. */
+  /** Returns the table as plain data, for a snapshot. */
   save(): z.infer<typeof Snapshot> {
     return {history: this.history, signed: this.signedBundle};
   }
@@ -99,10 +102,10 @@
   const version = current?.version ?? 0;
   const digest = current?.digest ?? '';
   if (bundle.version !== version + 1) {
-    const winner = current
+    const inForce = current
       ? ` (digest ${digest.slice(0, 12)}, signed by ${current.keyId})`
       : '';
-    return `version ${version}${winner} is in force, so the next is ${version + 1}, not ${bundle.version}`;
+    return `version ${version}${inForce} is in force, so the next is ${version + 1}, not ${bundle.version}`;
   }
   if (bundle.previous !== digest) {
     return `version ${bundle.version} was made from another version ${version}: previous must be "${digest}"`;
--- a/src/state/channel_bundle_table.ts
+++ b/src/state/channel_bundle_table.ts
@@ -1,10 +1,10 @@
-/** The newest bundle of the operators' channel: the highest version holds. */
+/** The newest unsigned bundle from the operators' channel. */
 import {z} from 'zod';
 import {ChannelBundle} from '../protocol/channel_bundle';
 import {GatewayRules} from '../protocol/gateway_rules';
 import {CommandResult} from './command_result';
 
-/** Accepts a bundle whose version is above the one in force. */
+/** Accepts a bundle only if its version is higher than the one in force. */
 export class ChannelBundleTable {
   private constructor(private current: ChannelBundle | undefined) {}
 
@@ -18,7 +18,7 @@
     return new ChannelBundleTable(ChannelBundle.optional().parse(snapshot));
   }
 
-  /** Version in force; 0 before the first. */
+  /** Version in force; 0 if there is none yet. */
   get version(): number {
     return this.current?.rules.version ?? 0;
   }
@@ -28,12 +28,12 @@
     return this.current?.rules;
   }
 
-  /** The bundle in force as its operator sent it, to the byte. */
+  /** The bundle in force, byte for byte as its operator sent it. */
   get source(): string | undefined {
     return this.current?.source;
   }
 
-  /** Takes a higher version; any other is acknowledged and changes nothing. */
+  /** Accepts a higher version; any other changes nothing. */
   accept(bundle: ChannelBundle): CommandResult {
     const {version} = bundle.rules;
     if (this.current && version <= this.version) {
@@ -44,7 +44,7 @@
     return {isAccepted: true, reason: `version ${version} is in force`};
   }
 
-  /** The table as plain data. */
+  /** Returns the table as plain data, for a snapshot. */
   save(): z.infer<typeof ChannelBundle> | undefined {
     return this.current;
   }
--- a/src/state/claim_table.ts
+++ b/src/state/claim_table.ts
@@ -1,4 +1,4 @@
-/** Claims of requests that run at most once. */
+/** Idempotency keys claimed by requests that must run at most once. */
 import {z} from 'zod';
 import {ClaimVerdict} from '../protocol/claim_verdict';
 import {ControlCommand} from '../protocol/control_command';
@@ -23,9 +23,9 @@
 
 const Snapshot = z.array(Claim);
 
-/** Grants each (workspace, key) once. */
+/** Grants each pair of workspace and key to one attempt. */
 export class ClaimTable {
-  /** Oldest first, so that expiry looks only at the front. */
+  /** In insertion order, oldest first, so expiry stops at the first claim that is kept. */
   private readonly claims: Map<string, Claim>;
 
   private constructor(claims: readonly Claim[]) {
@@ -46,48 +46,49 @@
     return this.claims.size;
   }
 
-  /** Grants the claim, or says what became of the one that stands. */
+  /** Grants the claim, or returns the state of the existing claim on the same key. */
   claim(command: ClaimCommand): ClaimVerdict {
     const key = createKey(command);
-    const standing = this.claims.get(key);
-    if (!standing || standing.outcome === 'not-run') {
-      return this.grant(key, command, standing);
+    const existing = this.claims.get(key);
+    // An attempt that certainly did not run gives the key up.
+    if (!existing || existing.outcome === 'not-run') {
+      return this.grant(key, command, existing);
     }
-    if (standing.digest !== command.digest) {
+    if (existing.digest !== command.digest) {
       return {status: 'key-reused'};
     }
-    if (standing.outcome) {
+    if (existing.outcome) {
       return {
         status: 'ended',
-        attemptId: standing.attemptId,
-        outcome: standing.outcome,
+        attemptId: existing.attemptId,
+        outcome: existing.outcome,
       };
     }
     const isRepeated =
-      standing.attemptId === command.attemptId &&
-      standing.incarnation === command.incarnation;
+      existing.attemptId === command.attemptId &&
+      existing.incarnation === command.incarnation;
     if (isRepeated) {
       return {status: 'granted'};
     }
-    const {attemptId, hostId, incarnation, address} = standing;
+    const {attemptId, hostId, incarnation, address} = existing;
     return {status: 'in-progress', attemptId, hostId, incarnation, address};
   }
 
-  /** Records an outcome; the first one stands. Tells whether it was recorded. */
+  /** Records the outcome of an attempt unless one is recorded already. Returns whether it was recorded. */
   resolve(command: ResolveCommand): boolean {
-    const standing = this.claims.get(createKey(command));
+    const existing = this.claims.get(createKey(command));
     if (
-      !standing ||
-      standing.outcome ||
-      standing.attemptId !== command.attemptId
+      !existing ||
+      existing.outcome ||
+      existing.attemptId !== command.attemptId
     ) {
       return false;
     }
-    standing.outcome = command.outcome;
+    existing.outcome = command.outcome;
     return true;
   }
 
-  /** Forgets claims made before a committed time. */
+  /** Removes claims made before `before`, in committed wall-clock milliseconds. */
   expire(before: number): void {
     for (const [key, claim] of this.claims) {
       if (claim.time >= before) {
@@ -97,7 +98,7 @@
     }
   }
 
-  /** The table as plain data. */
+  /** Returns the table as plain data, for a snapshot. */
   save(): z.infer<typeof Snapshot> {
     return [...this.claims.values()];
   }
@@ -105,9 +106,9 @@
   private grant(
     key: string,
     command: ClaimCommand,
-    standing: Claim | undefined,
+    existing: Claim | undefined,
   ): ClaimVerdict {
-    if (standing && standing.digest !== command.digest) {
+    if (existing && existing.digest !== command.digest) {
       return {status: 'key-reused'};
     }
     const {workspace, attemptId, digest, hostId, incarnation, address, time} =
--- a/src/state/cluster_state.ts
+++ b/src/state/cluster_state.ts
@@ -1,4 +1,4 @@
-/** Every table of control, derived from the log by applying its commands in order. */
+/** The replicated state machine: all tables, built by applying the commands of the log in order. */
 import {Decoder, Encoder} from 'cbor-x';
 import {z} from 'zod';
 import {ControlCommand} from '../protocol/control_command';
@@ -36,11 +36,11 @@
     index: number,
   ) => CommandResult;
 };
-type Note = Omit<JournalEntry, 'index' | 'time' | 'details'> & {
+type JournalNote = Omit<JournalEntry, 'index' | 'time' | 'details'> & {
   details?: JournalEntry['details'];
 };
 
-/** The replicated tables. */
+/** The state that all control processes derive from the same log. */
 export class ClusterState {
   readonly bundles: BundleTable;
   readonly groups: GroupTable;
@@ -80,12 +80,12 @@
     );
   }
 
-  /** Wall-clock milliseconds of the newest command; never goes back. */
+  /** Highest wall-clock milliseconds of any applied command; never decreases. */
   get time(): number {
     return this.committedTime;
   }
 
-  /** Rises with each change of the bundle or of a group. */
+  /** Incremented by each change of a bundle, a group or a suspect. */
   get changeCount(): number {
     return (
       this.groups.version +
@@ -96,12 +96,12 @@
     );
   }
 
-  /** True for a host that an operator drains. */
+  /** Whether an operator is draining this host. */
   isDrained(hostId: string): boolean {
     return this.drained.has(hostId);
   }
 
-  /** Journal entries, oldest first, about one subject or all. */
+  /** Lists journal entries after an index, oldest first, filtered by subject and id if given. */
   listJournal(filter: {
     subject?: string;
     id?: string;
@@ -115,14 +115,14 @@
     );
   }
 
-  /** Applies one committed entry. */
+  /** Applies one committed log entry. */
   apply(entry: LogEntry): CommandResult {
     const {command, index} = entry;
     this.committedTime = Math.max(this.committedTime, command.time);
     return this.handlers[command.type](command as never, index);
   }
 
-  /** All tables as bytes. */
+  /** Encodes all tables for a snapshot. */
   save(): Uint8Array {
     return encoder.encode({
       time: this.committedTime,
@@ -144,7 +144,7 @@
       const reason = command.replaces
         ? `${command.identity} takes the place of ${command.replaces}`
         : `${command.name} votes as ${command.identity}`;
-      this.record(index, {
+      this.recordJournalEntry(index, {
         type: 'voter-replaced',
         subject: 'control',
         id: command.name,
@@ -159,7 +159,7 @@
         const reason = `came in over the channel ${bundle.channel}, unsigned`;
         const id = String(bundle.rules.version);
         const type = 'bundle-accepted';
-        this.record(index, {type, subject: 'bundle', id, reason});
+        this.recordJournalEntry(index, {type, subject: 'bundle', id, reason});
       }
       return result;
     },
@@ -168,13 +168,13 @@
       const result = this.engineGroups.retire(id);
       if (isNew) {
         const type = 'backend-retired';
-        this.record(index, {type, subject: 'host', id, reason});
+        this.recordJournalEntry(index, {type, subject: 'host', id, reason});
       }
       return result;
     },
     'set-engine-group': ({group, reason}, index) => {
       const result = this.engineGroups.set({...group, epoch: index});
-      this.record(index, {
+      this.recordJournalEntry(index, {
         type: result.isAccepted ? 'group-set' : 'group-refused',
         subject: 'group',
         id: group.name,
@@ -188,18 +188,18 @@
     },
     'end-engine-group': ({name, epoch, reason}, index) => {
       const result = this.engineGroups.markEnding(name, epoch);
-      const about = {groupId: name, reason};
-      return this.recordGroupChange(index, 'group-ending', about, result);
+      const change = {groupId: name, reason};
+      return this.recordGroupChange(index, 'group-ending', change, result);
     },
     'release-engine-group': ({name, epoch, reason}, index) => {
       const result = this.engineGroups.markReleased(name, epoch);
-      const about = {groupId: name, reason};
-      return this.recordGroupChange(index, 'group-released', about, result);
+      const change = {groupId: name, reason};
+      return this.recordGroupChange(index, 'group-released', change, result);
     },
     'remove-engine-group': ({name, epoch, reason}, index) => {
       const result = this.engineGroups.remove(name, epoch);
-      const about = {groupId: name, reason};
-      return this.recordGroupChange(index, 'group-removed', about, result);
+      const change = {groupId: name, reason};
+      return this.recordGroupChange(index, 'group-removed', change, result);
     },
     'set-group': (command, index) => this.setGroup(command, index),
     'remove-group': (command, index) => {
@@ -215,18 +215,18 @@
     'begin-trial': ({name, incarnation}, index) => {
       const {committedTime, suspects} = this;
       const trial = suspects.beginTrial(name, incarnation, committedTime);
-      this.recordVerdicts(index);
+      this.recordVerdictChanges(index);
       return {isAccepted: trial === 'granted', reason: trial, trial};
     },
     'withdraw-crash': ({incarnation}, index) => {
       this.suspects.withdrawCrash(incarnation);
-      this.recordVerdicts(index);
+      this.recordVerdictChanges(index);
       return {isAccepted: true, reason: 'it lives'};
     },
     'lift-verdict': ({name, keyId}, index) => {
       const reason = `ordered by the operator with key ${keyId}`;
       const isAccepted = this.suspects.revokeVerdict(name, reason);
-      this.recordVerdicts(index);
+      this.recordVerdictChanges(index);
       return {isAccepted, reason: isAccepted ? reason : 'no such verdict'};
     },
     claim: command => {
@@ -254,20 +254,20 @@
     index: number,
   ): CommandResult {
     for (const crash of command.crashes) {
-      // What ends after a goodbye was not ended by what ran there.
+      // A retired backend server has announced its shutdown, so its end is no crash.
       if (!this.engineGroups.isRetired(crash.incarnation)) {
         this.suspects.recordCrash(crash, this.committedTime);
       }
     }
     command.released.forEach(name => this.suspects.endTrial(name));
     command.cleared.forEach(name => this.suspects.clearSuspect(name));
-    this.recordVerdicts(index);
+    this.recordVerdictChanges(index);
     return {isAccepted: true, reason: 'recorded'};
   }
 
-  private recordVerdicts(index: number): void {
+  private recordVerdictChanges(index: number): void {
     for (const {name: id, type, reason} of this.suspects.takeVerdictChanges()) {
-      this.record(index, {type, subject: 'request', id, reason});
+      this.recordJournalEntry(index, {type, subject: 'request', id, reason});
     }
   }
 
@@ -279,7 +279,7 @@
     const result = this.bundles.rollOut(command.bundle, command.time);
     const isNew = this.bundles.version !== before;
     if (isNew || !result.isAccepted) {
-      this.record(index, {
+      this.recordJournalEntry(index, {
         type: result.isAccepted ? 'bundle-accepted' : 'bundle-refused',
         subject: 'bundle',
         id: String(result.isAccepted ? this.bundles.version : before + 1),
@@ -296,7 +296,7 @@
   ): CommandResult {
     const group = {...command.group, fencing: index};
     const result = this.groups.set(group);
-    this.record(index, {
+    this.recordJournalEntry(index, {
       type: result.isAccepted ? 'group-set' : 'group-refused',
       subject: 'group',
       id: group.id,
@@ -313,12 +313,12 @@
   private recordGroupChange(
     index: number,
     type: string,
-    command: {groupId: string; reason: string},
+    change: {groupId: string; reason: string},
     result: CommandResult,
   ): CommandResult {
     if (result.isAccepted) {
-      const {groupId: id, reason} = command;
-      this.record(index, {type, subject: 'group', id, reason});
+      const {groupId: id, reason} = change;
+      this.recordJournalEntry(index, {type, subject: 'group', id, reason});
     }
     return result;
   }
@@ -335,7 +335,7 @@
     }
     const type = isDraining ? 'host-drained' : 'host-undrained';
     const reason = `ordered by the operator with key ${keyId}`;
-    this.record(index, {
+    this.recordJournalEntry(index, {
       type,
       subject: 'host',
       id: hostId,
@@ -345,7 +345,7 @@
     return {isAccepted: true, reason};
   }
 
-  private record(index: number, note: Note): void {
+  private recordJournalEntry(index: number, note: JournalNote): void {
     this.journal.push({details: {}, ...note, index, time: this.committedTime});
     if (this.journal.length > MAX_JOURNAL_ENTRIES * 1.2) {
       this.journal = this.journal.slice(-MAX_JOURNAL_ENTRIES);
--- a/src/state/command_result.ts
+++ b/src/state/command_result.ts
@@ -1,11 +1,11 @@
 import {ClaimVerdict} from '../protocol/claim_verdict';
 import {TrialVerdict} from '../protocol/trial_verdict';
 
-/** What applying a command to the tables led to. */
+/** The result of applying a command to the replicated tables. */
 export interface CommandResult {
   readonly isAccepted: boolean;
   readonly reason: string;
-  /** For roll-outs: the bundle that stands. */
+  /** For roll-outs: the bundle in force. */
   readonly bundle?: {
     readonly version: number;
     readonly digest: string;
--- a/src/state/control_data_folder.ts
+++ b/src/state/control_data_folder.ts
@@ -1,4 +1,4 @@
-/** The data folder of a control process: lock, identity, snapshot and log. */
+/** The data folder of a control process: lock file, identity, snapshot and log. */
 import {randomBytes} from 'node:crypto';
 import {readFile, rm, writeFile} from 'node:fs/promises';
 import * as path from 'node:path';
@@ -15,18 +15,18 @@
 const LOCK_FILE = 'lock';
 const IDENTITY_FILE = 'identity';
 const DISK_ID_BYTES = 8;
-/** Between two tries on a disk that has no room. */
+/** Between two attempts to write to a full disk. */
 const DISK_RETRY_MS = 200;
 
-/** How a data folder is opened. */
-interface ControlDiskOptions {
-  /** False where no other process can come to the folder; true without it. */
+/** Options for opening a data folder. */
+interface ControlDataFolderOptions {
+  /** Whether a lock file guards against a second process. Default: true; false where no other process can access the folder. */
   readonly locksFolder?: boolean;
   readonly storage?: Storage;
-  /** The disk has no room for a new identity; the write is tried again until it has. */
+  /** Called after each failed attempt to write a new identity to a full disk; the write is retried until it succeeds. */
   readonly onDiskFull?: (error: Error) => void;
   readonly timers?: Timers;
-  /** Names a new disk; never twice alike. */
+  /** Creates a unique id for a new data folder. */
   readonly createDiskId?: () => string;
 }
 
@@ -34,30 +34,30 @@
 export class ControlDataFolder {
   private constructor(
     private readonly folder: string,
-    /** Name of the process and of this very disk: a new disk is a new voter. */
+    /** The process's name and the folder's id: with a new folder the process is a new voter. */
     readonly identity: string,
     readonly snapshots: SnapshotStore,
     readonly log: WriteAheadLog,
   ) {}
 
   /**
-   * Opens a data folder, creating it when it is not there.
+   * Opens a data folder, and creates it if it doesn't exist.
    *
    * @param name the name of this control process
-   * @throws StateError when the folder is in use or damaged
+   * @throws StateError if the folder is in use, belongs to another process or is corrupted
    * @example
-   * const disk = await ControlDisk.create('data', 'control-a');
+   * const dataFolder = await ControlDataFolder.create('data', 'control-a');
    */
   static async create(
     folder: string,
     name: string,
-    options: ControlDiskOptions = {},
+    options: ControlDataFolderOptions = {},
   ): Promise<ControlDataFolder> {
     const {locksFolder = true, storage = nodeStorage} = options;
     const {createDiskId = createNewDiskId, timers = systemTimers} = options;
     await storage.createFolder(folder);
     if (locksFolder) {
-      await takeLock(folder);
+      await acquireLock(folder);
     }
     const identity = await retryWhileFull(
       () => readOrCreateIdentity(storage, folder, name, createDiskId),
@@ -69,14 +69,14 @@
     return new ControlDataFolder(folder, identity, snapshots, log);
   }
 
-  /** Closes the log and gives the folder free. */
+  /** Closes the log and releases the lock. */
   async close(): Promise<void> {
     await this.log.close();
     await rm(path.join(this.folder, LOCK_FILE), {force: true});
   }
 }
 
-/** A process that came back to a full disk waits for room, as one that runs does. */
+/** Retries while the disk is full: a restarted process waits for room, as a running one does. */
 async function retryWhileFull(
   write: () => Promise<string>,
   timers: Timers,
@@ -124,8 +124,8 @@
   return identity;
 }
 
-/** The lock names a process and its start time, since process ids are used again. */
-async function takeLock(folder: string): Promise<void> {
+/** The lock file holds the process id and its start time, because process ids are reused. */
+async function acquireLock(folder: string): Promise<void> {
   const file = path.join(folder, LOCK_FILE);
   const owner = (await nodeStorage.read(file))?.toString();
   if (owner) {
@@ -141,21 +141,21 @@
       );
     }
   }
-  const mark = `${process.pid} ${await readStartTime(String(process.pid))}`;
-  await writeFile(file, mark).catch((error: NodeJS.ErrnoException) => {
-    // Without room for its lock a process must still come back to its quorum.
+  const content = `${process.pid} ${await readStartTime(String(process.pid))}`;
+  await writeFile(file, content).catch((error: NodeJS.ErrnoException) => {
+    // On a full disk a process must still be able to rejoin its quorum, without a lock.
     if (error.code !== 'ENOSPC') {
       throw error;
     }
   });
 }
 
-/** Start time of a process in clock ticks since boot; undefined when it is gone. */
+/** Reads the start time of a process, in clock ticks since boot; undefined if it has ended. */
 async function readStartTime(pid: string): Promise<string | undefined> {
   const START_TIME_FIELD = 19;
   try {
     const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
-    // The second field may hold spaces, so fields are counted after its bracket.
+    // The second field, the command in parentheses, may contain spaces, so fields are counted after it.
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     return fields[0] === 'Z' ? undefined : fields[START_TIME_FIELD];
   } catch {
--- a/src/state/engine_group_table.ts
+++ b/src/state/engine_group_table.ts
@@ -1,9 +1,9 @@
-/** Groups of engines that control wants, and backend servers that take no new work. */
+/** The desired groups of inference engines, and the backend servers that were retired. */
 import {z} from 'zod';
 import {EngineGroup} from '../protocol/engine_group';
 import {CommandResult} from './command_result';
 
-/** Incarnations are never used again, so only the newest matter. */
+/** Incarnations are never reused, so the oldest ones can be dropped. */
 const MAX_RETIRED = 512;
 
 const Snapshot = z.object({
@@ -12,16 +12,16 @@
   changes: z.int(),
 });
 
-/** Refuses a host in two groups; an epoch is the place in the log. */
+/** Keeps each backend server in at most one group; a group's epoch is the log index of the command that set it. */
 export class EngineGroupTable {
   private readonly groups: Map<string, EngineGroup>;
   private readonly retired: Set<string>;
-  private changes: number;
+  private changeCount: number;
 
   private constructor(snapshot: z.infer<typeof Snapshot>) {
     this.groups = new Map(snapshot.groups.map(group => [group.name, group]));
     this.retired = new Set(snapshot.retired);
-    this.changes = snapshot.changes;
+    this.changeCount = snapshot.changes;
   }
 
   /**
@@ -35,9 +35,9 @@
     return new EngineGroupTable(Snapshot.parse(snapshot ?? empty));
   }
 
-  /** Rises with each change. */
+  /** Incremented by each change. */
   get version(): number {
-    return this.changes;
+    return this.changeCount;
   }
 
   list(): readonly EngineGroup[] {
@@ -48,55 +48,57 @@
     return this.retired.has(incarnation);
   }
 
-  /** Backend servers that take no new work, oldest first. */
+  /** Incarnations of retired backend servers, oldest first. */
   listRetired(): readonly string[] {
     return [...this.retired];
   }
 
-  /** Sets a group; its members must be in no other. */
+  /** Creates or replaces a group; its members must not be in another one. */
   set(group: EngineGroup): CommandResult {
-    const wanted = new Set(group.members.map(member => member.incarnation));
-    const taken = this.list().find(
+    const incarnations = new Set(
+      group.members.map(member => member.incarnation),
+    );
+    const conflicting = this.list().find(
       other =>
         other.name !== group.name &&
-        other.members.some(({incarnation}) => wanted.has(incarnation)),
+        other.members.some(({incarnation}) => incarnations.has(incarnation)),
     );
-    if (taken) {
-      return {isAccepted: false, reason: `a member is in ${taken.name}`};
+    if (conflicting) {
+      return {isAccepted: false, reason: `a member is in ${conflicting.name}`};
     }
     this.groups.set(group.name, group);
-    this.changes += 1;
+    this.changeCount += 1;
     return {isAccepted: true, reason: `set with epoch ${group.epoch}`};
   }
 
-  /** Marks a group as one that is being taken apart. */
+  /** Marks a group as being dissolved. */
   markEnding(name: string, epoch: number): CommandResult {
-    return this.mark(name, epoch, {isEnding: true});
+    return this.updateFlags(name, epoch, {isEnding: true});
   }
 
-  /** Marks a group as one that a member has left. */
+  /** Marks a group as released: a member has left it. */
   markReleased(name: string, epoch: number): CommandResult {
-    return this.mark(name, epoch, {isReleased: true});
+    return this.updateFlags(name, epoch, {isReleased: true});
   }
 
-  /** Removes a group under the epoch that is meant. */
+  /** Removes a group if it still has this epoch. */
   remove(name: string, epoch: number): CommandResult {
     const group = this.groups.get(name);
     if (group?.epoch !== epoch) {
       return {isAccepted: false, reason: `${name} has another epoch`};
     }
     this.groups.delete(name);
-    this.changes += 1;
+    this.changeCount += 1;
     return {isAccepted: true, reason: 'removed'};
   }
 
-  /** Notes that a backend server takes no new work, for good. */
+  /** Records that a backend server takes no new work from now on. */
   retire(incarnation: string): CommandResult {
     if (this.retired.has(incarnation)) {
       return {isAccepted: true, reason: 'retired earlier'};
     }
     this.retired.add(incarnation);
-    this.changes += 1;
+    this.changeCount += 1;
     for (const oldest of this.retired) {
       if (this.retired.size <= MAX_RETIRED) {
         break;
@@ -106,26 +108,26 @@
     return {isAccepted: true, reason: 'retired'};
   }
 
-  private mark(
+  private updateFlags(
     name: string,
     epoch: number,
-    marks: Partial<Pick<EngineGroup, 'isEnding' | 'isReleased'>>,
+    flags: Partial<Pick<EngineGroup, 'isEnding' | 'isReleased'>>,
   ): CommandResult {
     const group = this.groups.get(name);
     if (group?.epoch !== epoch) {
       return {isAccepted: false, reason: `${name} has another epoch`};
     }
-    this.groups.set(name, {...group, ...marks});
-    this.changes += 1;
-    return {isAccepted: true, reason: Object.keys(marks).join(' ')};
+    this.groups.set(name, {...group, ...flags});
+    this.changeCount += 1;
+    return {isAccepted: true, reason: Object.keys(flags).join(' ')};
   }
 
-  /** The table as plain data. */
+  /** Returns the table as plain data, for a snapshot. */
   save(): z.infer<typeof Snapshot> {
     return {
       groups: [...this.groups.values()],
       retired: [...this.retired],
-      changes: this.changes,
+      changes: this.changeCount,
     };
   }
 }
--- a/src/state/group_table.ts
+++ b/src/state/group_table.ts
@@ -1,20 +1,20 @@
-/** Replica groups: who belongs to which, under which epoch. */
+/** Replica groups with their members and epochs. */
 import {z} from 'zod';
 import {Group} from '../protocol/group';
 import {CommandResult} from './command_result';
 
 const Snapshot = z.object({
   groups: z.array(Group),
-  /** The last epoch of every group that ever was; epochs are never used again. */
+  /** The last epoch of every group id ever used; kept after removal, because epochs are never reused. */
   epochs: z.record(z.string(), z.int()),
   version: z.int(),
 });
 
-/** Holds each host in one group at most. */
+/** Keeps each host in at most one group. */
 export class GroupTable {
   private readonly groups: Map<string, Group>;
   private readonly epochs: Map<string, number>;
-  private readonly groupOfHost = new Map<string, string>();
+  private readonly groupIdByHost = new Map<string, string>();
 
   private constructor(
     snapshot: z.infer<typeof Snapshot>,
@@ -38,7 +38,7 @@
     return new GroupTable(parsed, parsed.version);
   }
 
-  /** Rises with each change; entries ask for the table by it. */
+  /** Incremented by each change; entry processes request the table by it. */
   get version(): number {
     return this.changeCount;
   }
@@ -51,17 +51,17 @@
     return this.groups.get(groupId);
   }
 
-  /** The group that a host belongs to. */
+  /** Finds the group that a host belongs to. */
   findByHost(hostId: string): Group | undefined {
-    return this.groups.get(this.groupOfHost.get(hostId) ?? '');
+    return this.groups.get(this.groupIdByHost.get(hostId) ?? '');
   }
 
-  /** The last epoch that a group id had; 0 when it never was. */
+  /** Finds the last epoch of a group id; 0 if the id was never used. */
   findEpoch(groupId: string): number {
     return this.epochs.get(groupId) ?? 0;
   }
 
-  /** Sets a group under its next epoch. */
+  /** Creates or replaces a group; its epoch must be the next one of its id. */
   set(group: Group): CommandResult {
     const expected = this.findEpoch(group.id) + 1;
     if (group.epoch !== expected) {
@@ -71,16 +71,16 @@
       };
     }
     const taken = group.members.find(member =>
-      this.isTaken(member.hostId, group.id),
+      this.isInOtherGroup(member.hostId, group.id),
     );
     if (taken) {
-      const owner = this.groupOfHost.get(taken.hostId);
+      const owner = this.groupIdByHost.get(taken.hostId);
       return {
         isAccepted: false,
         reason: `host ${taken.hostId} belongs to ${owner}`,
       };
     }
-    this.dropMembers(group.id);
+    this.removeMembers(group.id);
     this.groups.set(group.id, group);
     this.epochs.set(group.id, group.epoch);
     this.indexMembers(group);
@@ -88,7 +88,7 @@
     return {isAccepted: true, reason: 'set'};
   }
 
-  /** Stops new work on a group if it still has this epoch. */
+  /** Marks a group as draining, so that it gets no new work, if it still has this epoch. */
   drain(groupId: string, epoch: number): CommandResult {
     const group = this.groups.get(groupId);
     if (group?.epoch !== epoch) {
@@ -104,13 +104,13 @@
     if (this.groups.get(groupId)?.epoch !== epoch) {
       return {isAccepted: false, reason: `${groupId} is not at epoch ${epoch}`};
     }
-    this.dropMembers(groupId);
+    this.removeMembers(groupId);
     this.groups.delete(groupId);
     this.changeCount += 1;
     return {isAccepted: true, reason: 'removed'};
   }
 
-  /** The table as plain data. */
+  /** Returns the table as plain data, for a snapshot. */
   save(): z.infer<typeof Snapshot> {
     return {
       groups: this.list(),
@@ -119,20 +119,20 @@
     };
   }
 
-  private isTaken(hostId: string, groupId: string): boolean {
-    const owner = this.groupOfHost.get(hostId);
+  private isInOtherGroup(hostId: string, groupId: string): boolean {
+    const owner = this.groupIdByHost.get(hostId);
     return owner !== undefined && owner !== groupId;
   }
 
   private indexMembers(group: Group): void {
     group.members.forEach(member =>
-      this.groupOfHost.set(member.hostId, group.id),
+      this.groupIdByHost.set(member.hostId, group.id),
     );
   }
 
-  private dropMembers(groupId: string): void {
+  private removeMembers(groupId: string): void {
     this.groups
       .get(groupId)
-      ?.members.forEach(member => this.groupOfHost.delete(member.hostId));
+      ?.members.forEach(member => this.groupIdByHost.delete(member.hostId));
   }
 }
--- a/src/state/journal_entry.ts
+++ b/src/state/journal_entry.ts
@@ -1,10 +1,10 @@
 import {z} from 'zod';
 
-/** A decision of control, as it is kept for `whinreel explain`. */
+/** A recorded decision of the control plane, shown by `whinreel explain`. */
 export const JournalEntry = z.object({
-  /** Place in the replicated log. */
+  /** Index in the replicated log. */
   index: z.int(),
-  /** Wall-clock milliseconds at the leader that decided. */
+  /** Wall-clock milliseconds of the leader that decided. */
   time: z.number(),
   type: z.string(),
   subject: z.enum(['group', 'host', 'bundle', 'claim', 'control', 'request']),
--- a/src/state/node_storage.ts
+++ b/src/state/node_storage.ts
@@ -1,11 +1,11 @@
-/** The file system of this machine. */
+/** Storage on the local file system. */
 import {mkdir, open, readFile, rename} from 'node:fs/promises';
 import {Storage} from './storage';
 
 const FLAGS = {add: 'a', replace: 'w'} as const;
 const OWNER_ONLY = 0o600;
 
-/** Keeps files where the operating system does. */
+/** Accesses files through `node:fs`. */
 export const nodeStorage: Storage = {
   async read(file) {
     try {
--- a/src/state/record_codec.ts
+++ b/src/state/record_codec.ts
@@ -1,23 +1,23 @@
 /**
- * Records on disk: a header of length, payload checksum and header checksum,
- * then the payload. The header has a checksum of its own, so that a damaged
- * length is told apart from a record that was cut short.
+ * The format of records on disk: a header with the payload's length, the payload's
+ * CRC-32 and the header's CRC-32, then the payload. The header's own checksum
+ * distinguishes a corrupted length from a record that was written incompletely.
  */
 import {crc32} from 'node:zlib';
 import {StateError} from './state_error';
 
 const HEADER_BYTES = 12;
 
-/** What a scan of a file found. */
-interface ScanResult {
+/** The records of a file. */
+interface DecodeResult {
   readonly payloads: Buffer[];
-  /** Bytes up to the end of the last whole record. */
+  /** Offset of the end of the last complete record. */
   readonly wholeBytes: number;
 }
 
-/** Encodes and scans records. */
+/** Encodes payloads as records, and decodes the records of a file. */
 export const recordCodec = {
-  /** Wraps one payload. */
+  /** Encodes one payload as a record. */
   encode(payload: Uint8Array): Buffer {
     const record = Buffer.allocUnsafe(HEADER_BYTES + payload.length);
     record.writeUInt32BE(payload.length, 0);
@@ -28,19 +28,19 @@
   },
 
   /**
-   * Reads every whole record. Bytes that end before their record does were
-   * never acknowledged and are left out; anything else that is wrong is refused.
+   * Decodes all complete records. An incomplete last record was never acknowledged
+   * and is ignored; any other inconsistency is an error.
    *
-   * @param name the file's name, for the error
-   * @throws StateError when a whole record is damaged
+   * @param name the file's name, for the error message
+   * @throws StateError if a checksum doesn't match
    */
-  decode(bytes: Buffer, name: string): ScanResult {
+  decode(bytes: Buffer, name: string): DecodeResult {
     const payloads: Buffer[] = [];
     let offset = 0;
     while (bytes.length - offset >= HEADER_BYTES) {
       const length = bytes.readUInt32BE(offset);
-      const headerSum = crc32(bytes.subarray(offset, offset + 8));
-      if (headerSum !== bytes.readUInt32BE(offset + 8)) {
+      const headerChecksum = crc32(bytes.subarray(offset, offset + 8));
+      if (headerChecksum !== bytes.readUInt32BE(offset + 8)) {
         throw createDamageError(name, offset);
       }
       const end = offset + HEADER_BYTES + length;
@@ -60,8 +60,8 @@
 
 function createDamageError(name: string, offset: number): StateError {
   return new StateError(
-    '%s is damaged at byte %d: the record does not fit its checksum. Nothing was changed. ' +
-      'Move the data folder away and start again: this process is then admitted as a new voter.',
+    '%s is damaged at byte %d: the checksum of the record does not match. The file was not modified. ' +
+      'Move the data folder away and restart: this process then joins as a new voter.',
     name,
     offset,
   );
--- a/src/state/replace_file.ts
+++ b/src/state/replace_file.ts
@@ -3,10 +3,11 @@
 import {writeAll} from './write_all';
 
 /**
- * Writes a file so that after a crash either the old or the new content stands.
+ * Replaces a file's content atomically: after a crash it holds either the old or the
+ * new content. Writes and syncs a temporary file, then renames it.
  *
  * @example
- * await replaceFile(nodeStorage, 'data/identity.json', bytes);
+ * await replaceFile(nodeStorage, 'data/identity', bytes);
  */
 export async function replaceFile(
   storage: Storage,
--- a/src/state/select_suspects_to_evict.ts
+++ b/src/state/select_suspects_to_evict.ts
@@ -1,26 +1,27 @@
-/** Decides what a full table of suspects forgets. */
+/** Chooses the entries that a full table of suspects evicts. */
 import {Suspect} from './suspect';
 
-/** Leading digits of a request's name that tell its caller. */
+/** Length of the prefix of a request's name that identifies its caller. */
 const CALLER_DIGITS = 8;
-/** One caller's flood of such requests must not push out what others' cost. */
-const MAX_OF_CALLER = 64;
+/** Keeps one caller's many suspects from evicting those of other callers. */
+const MAX_SUSPECTS_PER_CALLER = 64;
 /** At some 300 bytes each, the table stays under 0.4 MB in memory and snapshots. */
 const MAX_SUSPECTS = 1_024;
 
-/** What says least goes first: mere presence, then doubt, then verdicts. */
-const ORDER: Readonly<Record<Suspect['standing'], number>> = {
+/** Eviction order: entries with a lower rank go first. */
+const EVICTION_RANK: Readonly<Record<Suspect['standing'], number>> = {
   watched: 0,
   suspected: 1,
   convicted: 2,
 };
 
 /**
- * Names what is over the limits: first of callers that have too many, then of the
- * caller that has most; of each the least that is known, the oldest first.
+ * Selects the suspects over the limits: first those of callers over their own limit,
+ * then, one by one, from the caller with the most. Within a caller the lowest
+ * standing goes first, then the oldest.
  *
  * @example
- * listForgotten(suspects).forEach(name => suspects.delete(name));
+ * selectSuspectsToEvict(suspects).forEach(name => suspects.delete(name));
  */
 export function selectSuspectsToEvict(
   suspects: ReadonlyMap<string, Suspect>,
@@ -30,22 +31,22 @@
     const caller = name.slice(0, CALLER_DIGITS);
     callers.set(caller, [...(callers.get(caller) ?? []), name]);
   }
-  const forgotten: string[] = [];
-  const forgetOf = (names: string[], count: number) => {
+  const evicted: string[] = [];
+  const evictFrom = (names: string[], count: number) => {
     const rank = (name: string) =>
-      ORDER[suspects.get(name)?.standing ?? 'watched'];
+      EVICTION_RANK[suspects.get(name)?.standing ?? 'watched'];
     const sorted = [...names].sort((left, right) => rank(left) - rank(right));
-    forgotten.push(...sorted.slice(0, count));
+    evicted.push(...sorted.slice(0, count));
     return sorted.slice(count);
   };
   const kept = [...callers.values()].map(names =>
-    forgetOf(names, Math.max(0, names.length - MAX_OF_CALLER)),
+    evictFrom(names, Math.max(0, names.length - MAX_SUSPECTS_PER_CALLER)),
   );
-  let left = kept.reduce((sum, names) => sum + names.length, 0);
-  while (left > MAX_SUSPECTS) {
+  let remaining = kept.reduce((sum, names) => sum + names.length, 0);
+  while (remaining > MAX_SUSPECTS) {
     kept.sort((first, second) => second.length - first.length);
-    kept[0] = forgetOf(kept[0], 1);
-    left -= 1;
+    kept[0] = evictFrom(kept[0], 1);
+    remaining -= 1;
   }
-  return forgotten;
+  return evicted;
 }
--- a/src/state/snapshot_store.ts
+++ b/src/state/snapshot_store.ts
@@ -1,4 +1,4 @@
-/** The newest snapshot of the state on disk. */
+/** The newest snapshot of the replicated state, on disk. */
 import * as path from 'node:path';
 import {Decoder, Encoder} from 'cbor-x';
 import {z} from 'zod';
@@ -20,7 +20,7 @@
 });
 type Snapshot = z.infer<typeof Snapshot>;
 
-/** Keeps one snapshot, replaced as a whole. */
+/** Stores one snapshot and replaces it atomically. */
 export class SnapshotStore {
   private constructor(
     private readonly storage: Storage,
@@ -29,9 +29,9 @@
   ) {}
 
   /**
-   * Reads the snapshot in a data folder, if there is one.
+   * Opens the store of a data folder and reads its snapshot, if there is one.
    *
-   * @throws StateError when it is damaged
+   * @throws StateError if the snapshot is corrupted
    * @example
    * const store = await SnapshotStore.create('data');
    */
@@ -44,7 +44,7 @@
     return new SnapshotStore(storage, file, bytes && readSnapshot(bytes, file));
   }
 
-  /** The newest snapshot; undefined in a folder that never had one. */
+  /** The newest snapshot; undefined if none was saved yet. */
   get current(): Snapshot | undefined {
     return this.snapshot;
   }
@@ -52,7 +52,7 @@
   /**
    * Replaces the snapshot and waits until it is on disk.
    *
-   * @throws StateError when the disk refuses
+   * @throws StateError if it can't be written, named `DiskFull` if the disk has no room
    */
   async save(snapshot: Snapshot): Promise<void> {
     try {
@@ -79,14 +79,15 @@
 function readSnapshot(bytes: Buffer, file: string): Snapshot {
   const {payloads, wholeBytes} = recordCodec.decode(bytes, file);
   if (payloads.length !== 1 || wholeBytes !== bytes.length) {
-    throw new StateError(
-      '%s is damaged: it does not hold exactly one record',
-      file,
-    );
+    throw new StateError('%s is damaged: expected exactly one record', file);
   }
   const parsed = Snapshot.safeParse(decoder.decode(payloads[0]));
   if (!parsed.success) {
-    throw new StateError(parsed.error, '%s holds no snapshot', file);
+    throw new StateError(
+      parsed.error,
+      '%s does not contain a valid snapshot',
+      file,
+    );
   }
   return parsed.data;
 }
--- a/src/state/state_error.ts
+++ b/src/state/state_error.ts
@@ -1,4 +1,4 @@
 import {VError} from 'verror';
 
-/** A failure of durable state: a damaged file, a full disk, a folder in use. */
+/** An error of the durable state: a corrupted file, a full disk, or a data folder in use. */
 export class StateError extends VError {}
--- a/src/state/storage.ts
+++ b/src/state/storage.ts
@@ -1,14 +1,14 @@
 import {StorageFile} from './storage_file';
 
-/** What a data folder is kept in: a disk, or one that a simulation makes up. */
+/** File system operations on a data folder; simulations implement them in memory. */
 export interface Storage {
-  /** The content of a file; undefined when there is none. */
+  /** Reads a file; undefined if it doesn't exist. */
   read(file: string): Promise<Buffer | undefined>;
-  /** Opens a file to add to it, or to write it anew. */
+  /** Opens a file for appending (`add`), or truncates it (`replace`). */
   open(file: string, how: 'add' | 'replace'): Promise<StorageFile>;
-  /** Gives a file another name, in place of what had that name. */
+  /** Renames a file and replaces an existing one of that name. */
   rename(from: string, to: string): Promise<void>;
   createFolder(folder: string): Promise<void>;
-  /** Makes renames and new names in a folder last. */
+  /** Waits until new and renamed entries of a folder are on disk. */
   syncFolder(folder: string): Promise<void>;
 }
--- a/src/state/storage_file.ts
+++ b/src/state/storage_file.ts
@@ -1,14 +1,14 @@
-/** A file that is written at its end. */
+/** An append-only file. */
 export interface StorageFile {
-  /** Writes at the end; may take fewer bytes than it is given. */
+  /** Appends bytes; may write fewer than `length`. */
   write(
     bytes: Buffer,
     offset: number,
     length: number,
   ): Promise<{bytesWritten: number}>;
-  /** Waits until the content is on disk. */
+  /** Waits until the content is on disk, as `fdatasync` does. */
   datasync(): Promise<void>;
-  /** Waits until content and size are on disk. */
+  /** Waits until content and metadata are on disk, as `fsync` does. */
   sync(): Promise<void>;
   truncate(size: number): Promise<void>;
   close(): Promise<void>;
--- a/src/state/suspect.ts
+++ b/src/state/suspect.ts
@@ -1,8 +1,8 @@
 import {z} from 'zod';
 
-/** What is held against one request. */
+/** A request under suspicion of crashing backend servers. */
 export const Suspect = z.object({
-  /** Ends of backend servers while it ran there. */
+  /** Crashes of backend servers while the request ran on them. */
   crashes: z.array(
     z.object({
       incarnation: z.string(),
@@ -10,10 +10,11 @@
       hadBegun: z.boolean(),
     }),
   ),
+  /** `watched`: not restricted; `suspected`: sent only in a trial; `convicted`: never sent. */
   standing: z.enum(['watched', 'suspected', 'convicted']),
-  /** The change of the table with which its standing came. */
+  /** Version of the table in which `standing` last changed. */
   changedAt: z.int(),
-  /** Where it runs alone of all suspects, and since when. */
+  /** The backend server on which it runs as the only suspect, and since when. */
   trial: z.object({incarnation: z.string(), time: z.number()}).optional(),
 });
 export type Suspect = z.infer<typeof Suspect>;
--- a/src/state/suspect_table.ts
+++ b/src/state/suspect_table.ts
@@ -1,4 +1,4 @@
-/** Requests under which backend servers ended: what is held against each, and what gateways may do with it. */
+/** Requests that ran on backend servers when these crashed: the evidence against each, its standing, and trials granted to gateways. */
 import {z} from 'zod';
 import {CrashEvidence} from '../coordination/requests/crash_evidence';
 import {decideVerdict} from '../coordination/requests/decide_verdict';
@@ -9,49 +9,49 @@
 import {selectSuspectsToEvict} from './select_suspects_to_evict';
 import {Suspect} from './suspect';
 
-/** Ends that are remembered; the loss of every domain at hundreds of hosts makes fewer heads than that. */
-const MAX_ENDS = 256;
-/** Changes that gateways may have missed; one that missed more gets the whole list. */
+/** Crashes that are remembered; losing every domain of a fleet of hundreds of hosts takes down fewer group heads than that. */
+const MAX_CRASHES = 256;
+/** Freed requests that are remembered; a gateway that is further behind gets the whole list. */
 const MAX_FREED = 1_024;
-/** A gateway that ends in the middle of a trial never says so; a first event takes a second at the most. */
-const TRIAL_MS = 10_000;
+/** Ends the trial of a gateway that stopped without reporting; the first event of a response takes one second at most. */
+const TRIAL_TIMEOUT_MS = 10_000;
 
-const End = z.object({
+const BackendCrash = z.object({
   time: z.number(),
-  /** The request that ended it, once that is known. */
+  /** The request convicted of this crash, once there is one. */
   explainedBy: z.string().optional(),
 });
-type End = z.infer<typeof End>;
+type BackendCrash = z.infer<typeof BackendCrash>;
 
 const Snapshot = z.object({
   suspects: z.array(z.tuple([z.string(), Suspect])),
-  ends: z.array(z.tuple([z.string(), End])),
+  ends: z.array(z.tuple([z.string(), BackendCrash])),
   freed: z.array(z.tuple([z.string(), z.int()])),
   changes: z.int(),
 });
 
-/** A change that people should be able to look up. */
-interface VerdictNote {
+/** A change of a verdict, to be recorded in the journal. */
+interface VerdictChange {
   readonly name: string;
   readonly type:
     'request-convicted' | 'request-doubted-again' | 'verdict-lifted';
   readonly reason: string;
 }
 
-/** Follows from the log alone, so that it outlasts leaders, gateways and power. */
+/** Derived from the replicated log alone, so it survives a change of leader, a gateway restart and a power loss. */
 export class SuspectTable {
   private readonly suspects: Map<string, Suspect>;
-  private readonly ends: Map<string, End>;
-  /** Requests that are no longer held back, with the change that freed them. */
+  private readonly crashes: Map<string, BackendCrash>;
+  /** Requests that are no longer restricted, each with the version that freed it; oldest first. */
   private freed: Array<readonly [string, number]>;
-  private changes: number;
-  private notes: VerdictNote[] = [];
+  private changeCount: number;
+  private verdictChanges: VerdictChange[] = [];
 
   private constructor(snapshot: z.infer<typeof Snapshot>) {
     this.suspects = new Map(snapshot.suspects);
-    this.ends = new Map(snapshot.ends);
+    this.crashes = new Map(snapshot.ends);
     this.freed = snapshot.freed;
-    this.changes = snapshot.changes;
+    this.changeCount = snapshot.changes;
   }
 
   /**
@@ -65,64 +65,66 @@
     return new SuspectTable(Snapshot.parse(snapshot ?? empty));
   }
 
-  /** Rises with each change that gateways must know. */
+  /** Incremented by each change that gateways need to know. */
   get version(): number {
-    return this.changes;
+    return this.changeCount;
   }
 
-  /** What is held against a request. */
+  /** Returns the evidence against a request, if there is any. */
   find(name: string): Suspect | undefined {
     return this.suspects.get(name);
   }
 
-  /** Everything that is held against anybody, oldest first. */
+  /** All requests with evidence against them, oldest first. */
   list(): ReadonlyArray<readonly [string, Suspect]> {
     return [...this.suspects];
   }
 
-  /** Takes the changes of verdicts since the last call. */
-  takeVerdictChanges(): readonly VerdictNote[] {
-    const {notes} = this;
-    this.notes = [];
-    return notes;
+  /** Returns the verdict changes since the last call, and clears them. */
+  takeVerdictChanges(): readonly VerdictChange[] {
+    const {verdictChanges} = this;
+    this.verdictChanges = [];
+    return verdictChanges;
   }
 
   /**
-   * Notes the end of a backend server and what ran there.
+   * Records the crash of a backend server and the requests that ran on it.
    *
    * @param time committed wall-clock milliseconds
    */
   recordCrash({incarnation, notBegun, begun}: CrashReport, time: number): void {
-    const end = this.ends.get(incarnation) ?? {time};
-    this.ends.set(incarnation, end);
+    const end = this.crashes.get(incarnation) ?? {time};
+    this.crashes.set(incarnation, end);
     this.endTrials(incarnation);
     if (end.explainedBy === undefined) {
-      const told = {incarnation, time: end.time};
-      notBegun.forEach(name => this.add(name, {...told, hadBegun: false}));
-      begun.forEach(name => this.add(name, {...told, hadBegun: true}));
-      this.decidePresent(incarnation, time);
+      const crash = {incarnation, time: end.time};
+      notBegun.forEach(name =>
+        this.addEvidence(name, {...crash, hadBegun: false}),
+      );
+      begun.forEach(name => this.addEvidence(name, {...crash, hadBegun: true}));
+      this.updateStandings(incarnation, time);
     }
-    this.expire();
+    this.evict();
   }
 
-  /** It had not ended after all: what ran there has nothing to do with it. */
+  /** Removes a crash, and all evidence from it, because the backend server turned out to be alive. */
   withdrawCrash(incarnation: string): void {
-    if (!this.ends.delete(incarnation)) {
+    if (!this.crashes.delete(incarnation)) {
       return;
     }
     for (const name of [...this.suspects.keys()]) {
-      this.dropEvidence(name, [incarnation], Infinity);
+      this.removeEvidence(name, [incarnation], Infinity);
     }
   }
 
-  /** True while an end is remembered and not withdrawn. */
+  /** Whether a crash of this incarnation is on record and was not withdrawn. */
   hasCrashed(incarnation: string): boolean {
-    return this.ends.has(incarnation);
+    return this.crashes.has(incarnation);
   }
 
-  /** Gives the right to send a suspect to one backend server, alone of all suspects. */
+  /** Grants a trial: the right to send a suspect to one backend server, as the only suspect there. */
   beginTrial(name: string, incarnation: string, time: number): TrialVerdict {
-    const standing = this.decide(name, time);
+    const standing = this.updateStanding(name, time);
     const suspect = this.suspects.get(name);
     if (!suspect) {
       return 'free';
@@ -137,7 +139,7 @@
     return 'granted';
   }
 
-  /** A suspect cannot be sent to a backend server now; asked again and again, so it changes nothing. */
+  /** Whether a suspect can't be sent to a backend server now. Waiting gateways ask repeatedly, so it changes nothing. */
   isTrialBlocked(name: string, incarnation: string, time: number): boolean {
     const suspect = this.suspects.get(name);
     if (!suspect || suspect.standing === 'convicted') {
@@ -146,13 +148,13 @@
     const isUsed = this.list().some(
       ([other, {trial}]) =>
         trial !== undefined &&
-        time - trial.time < TRIAL_MS &&
+        time - trial.time < TRIAL_TIMEOUT_MS &&
         (other === name || trial.incarnation === incarnation),
     );
-    return isUsed || isHeldBack(suspect, time) || this.ends.has(incarnation);
+    return isUsed || isInWindow(suspect, time) || this.crashes.has(incarnation);
   }
 
-  /** A trial is over: nothing ended as far as the request has come. */
+  /** Ends a request's trial without a crash; its evidence and standing stay. */
   endTrial(name: string): void {
     const suspect = this.suspects.get(name);
     if (suspect) {
@@ -160,30 +162,30 @@
     }
   }
 
-  /** It ran to its end elsewhere: nothing is held against it any more. */
+  /** Drops all evidence against a request, because it or an identical one ran to completion. */
   clearSuspect(name: string): void {
     if (this.suspects.get(name)?.standing === 'convicted') {
       const reason = 'one like it ran to its end';
-      this.notes.push({name, type: 'verdict-lifted', reason});
+      this.verdictChanges.push({name, type: 'verdict-lifted', reason});
     }
-    this.drop(name);
+    this.remove(name);
   }
 
-  /** An operator wants it sent again. */
+  /** Lifts a conviction on an operator's order. Returns false if there was none. */
   revokeVerdict(name: string, reason: string): boolean {
     const isKnown = this.suspects.get(name)?.standing === 'convicted';
     if (isKnown) {
-      this.drop(name);
-      this.notes.push({name, type: 'verdict-lifted', reason});
+      this.remove(name);
+      this.verdictChanges.push({name, type: 'verdict-lifted', reason});
     }
     return isKnown;
   }
 
-  /** What a gateway needs that knows the list as of a version. */
+  /** Lists the changes for a gateway that knows the list as of `version`. */
   listChangesSince(version: number): SuspectNews {
     const oldest = this.freed[0]?.[1] ?? 0;
     const hasAll = this.freed.length < MAX_FREED || version >= oldest;
-    const isWhole = version > this.changes || version === 0 || !hasAll;
+    const isWhole = version > this.changeCount || version === 0 || !hasAll;
     const since = isWhole ? 0 : version;
     const changed = this.list().filter(([, {changedAt}]) => changedAt > since);
     const listAs = (wanted: Suspect['standing']) =>
@@ -191,10 +193,10 @@
         standing === wanted ? [name] : [],
       );
     const freed = this.freed.filter(
-      ([name, at]) => at > since && !this.isHeld(name),
+      ([name, at]) => at > since && !this.isRestricted(name),
     );
     return {
-      version: this.changes,
+      version: this.changeCount,
       isWhole,
       suspected: listAs('suspected'),
       convicted: listAs('convicted'),
@@ -206,18 +208,18 @@
   save(): z.infer<typeof Snapshot> {
     return {
       suspects: [...this.suspects],
-      ends: [...this.ends],
+      ends: [...this.crashes],
       freed: this.freed.map(([name, at]) => [name, at]),
-      changes: this.changes,
+      changes: this.changeCount,
     };
   }
 
-  private isHeld(name: string): boolean {
+  private isRestricted(name: string): boolean {
     const standing = this.suspects.get(name)?.standing ?? 'watched';
     return standing !== 'watched';
   }
 
-  private add(name: string, evidence: CrashEvidence): void {
+  private addEvidence(name: string, evidence: CrashEvidence): void {
     const suspect = this.suspects.get(name) ?? {
       crashes: [],
       standing: 'watched' as const,
@@ -233,46 +235,46 @@
     this.suspects.set(name, {...suspect, crashes});
   }
 
-  private decidePresent(incarnation: string, now: number): void {
+  private updateStandings(incarnation: string, now: number): void {
     for (const [name, {crashes}] of this.list()) {
       if (crashes.some(crash => crash.incarnation === incarnation)) {
-        this.decide(name, now);
+        this.updateStanding(name, now);
       }
     }
   }
 
-  /** Judges anew what is not convicted, by what is known now. */
-  private decide(name: string, now: number): Suspect['standing'] {
+  /** Decides the standing of a request from the current evidence; a conviction stays. */
+  private updateStanding(name: string, now: number): Suspect['standing'] {
     const suspect = this.suspects.get(name);
     if (!suspect || suspect.standing === 'convicted') {
       return suspect?.standing ?? 'watched';
     }
     const {crashes, standing} = suspect;
     const own = new Set(crashes.map(({incarnation}) => incarnation));
-    const otherEnds = [...this.ends].flatMap(([incarnation, end]) =>
+    const otherEnds = [...this.crashes].flatMap(([incarnation, end]) =>
       end.explainedBy === undefined && !own.has(incarnation) ? [end.time] : [],
     );
-    const isAmbiguous = this.hasCompanion(name, suspect);
+    const isAmbiguous = this.hasOtherPossibleCause(name, suspect);
     const verdict = decideVerdict({own: crashes, now, otherEnds, isAmbiguous});
     if (verdict === standing) {
       return verdict;
     }
-    this.changes += 1;
-    const changedAt = this.changes;
+    this.changeCount += 1;
+    const changedAt = this.changeCount;
     this.suspects.set(name, {...suspect, standing: verdict, changedAt});
     if (verdict === 'watched') {
       this.recordFreed(name);
     }
     if (verdict === 'convicted') {
       const reason = `${own.size} backend servers ended under it: ${[...own].join(' ')}`;
-      this.notes.push({name, type: 'request-convicted', reason});
+      this.verdictChanges.push({name, type: 'request-convicted', reason});
       this.explain(name, [...own], now);
     }
     return verdict;
   }
 
-  /** Somebody else was there, not begun either, each time that this one was. */
-  private hasCompanion(name: string, {crashes}: Suspect): boolean {
+  /** Whether another request that isn't convicted was present at each of these crashes, with evidence at least as strong. */
+  private hasOtherPossibleCause(name: string, {crashes}: Suspect): boolean {
     return this.list().some(
       ([other, suspect]) =>
         other !== name &&
@@ -287,21 +289,21 @@
     );
   }
 
-  /** Ends that are explained speak against nobody else who was there. */
+  /** Attributes crashes to a convicted request; they no longer count against requests that aren't convicted. */
   private explain(name: string, servers: readonly string[], now: number): void {
     servers.forEach(server => this.setExplained(server, name));
     for (const other of [...this.suspects.keys()]) {
-      // A verdict that follows from this one may have changed it meanwhile.
+      // A conviction that follows from this one may have changed its standing meanwhile.
       const isConvicted = this.suspects.get(other)?.standing === 'convicted';
       if (!isConvicted && other !== name) {
-        this.dropEvidence(other, servers, now);
-        // What ended near it may be explained now.
-        this.decide(other, now);
+        this.removeEvidence(other, servers, now);
+        // Crashes close in time to its own may now be explained, which changes its verdict.
+        this.updateStanding(other, now);
       }
     }
   }
 
-  private dropEvidence(
+  private removeEvidence(
     name: string,
     servers: readonly string[],
     now: number,
@@ -315,27 +317,27 @@
       return;
     }
     if (crashes.length === 0) {
-      this.drop(name);
+      this.remove(name);
       return;
     }
-    // A verdict that rested on it is open again.
+    // A conviction that relied on the removed evidence is reopened.
     const standing =
       suspect.standing === 'convicted' ? 'suspected' : suspect.standing;
     const isReopened = standing !== suspect.standing;
-    this.changes += isReopened ? 1 : 0;
-    const changedAt = isReopened ? this.changes : suspect.changedAt;
+    this.changeCount += isReopened ? 1 : 0;
+    const changedAt = isReopened ? this.changeCount : suspect.changedAt;
     this.suspects.set(name, {...suspect, crashes, standing, changedAt});
     if (isReopened) {
       const reason = 'a backend server that had ended under it lives';
-      this.notes.push({name, type: 'request-doubted-again', reason});
+      this.verdictChanges.push({name, type: 'request-doubted-again', reason});
     }
-    this.decide(name, now);
+    this.updateStanding(name, now);
   }
 
   private setExplained(server: string, by: string): void {
-    const end = this.ends.get(server);
+    const end = this.crashes.get(server);
     if (end) {
-      this.ends.set(server, {time: end.time, explainedBy: by});
+      this.crashes.set(server, {time: end.time, explainedBy: by});
     }
   }
 
@@ -347,32 +349,32 @@
     }
   }
 
-  private drop(name: string): void {
-    if (this.isHeld(name)) {
-      this.changes += 1;
+  private remove(name: string): void {
+    if (this.isRestricted(name)) {
+      this.changeCount += 1;
       this.recordFreed(name);
     }
     this.suspects.delete(name);
   }
 
   private recordFreed(name: string): void {
-    this.freed.push([name, this.changes]);
+    this.freed.push([name, this.changeCount]);
     this.freed = this.freed.slice(-MAX_FREED);
   }
 
-  private expire(): void {
-    selectSuspectsToEvict(this.suspects).forEach(name => this.drop(name));
-    for (const oldest of this.ends.keys()) {
-      if (this.ends.size <= MAX_ENDS) {
+  private evict(): void {
+    selectSuspectsToEvict(this.suspects).forEach(name => this.remove(name));
+    for (const oldest of this.crashes.keys()) {
+      if (this.crashes.size <= MAX_CRASHES) {
         break;
       }
-      this.ends.delete(oldest);
+      this.crashes.delete(oldest);
     }
   }
 }
 
-/** Two ends speak against it, and whether others end near is not known yet. */
-function isHeldBack({crashes}: Suspect, now: number): boolean {
+/** Whether a request was present at two crashes before its response started, and the time in which other crashes count as correlated is not over. */
+function isInWindow({crashes}: Suspect, now: number): boolean {
   const notBegun = crashes.filter(({hadBegun}) => !hadBegun);
   const newest = Math.max(...crashes.map(({time}) => time));
   return notBegun.length > 1 && now - newest < WAVE_MS;
--- a/src/state/write_ahead_log.ts
+++ b/src/state/write_ahead_log.ts
@@ -1,4 +1,4 @@
-/** The replicated log and the node's vote on disk. */
+/** The on-disk copy of the replicated log, with this node's term and vote. */
 import * as path from 'node:path';
 import {Decoder, Encoder} from 'cbor-x';
 import {LogEntry} from '../protocol/log_entry';
@@ -15,33 +15,33 @@
 const encoder = new Encoder({useRecords: false});
 const decoder = new Decoder({useRecords: false, mapsAsObjects: true});
 
-/** What the log on disk says. */
+/** The content of the log when it was opened. */
 interface RecoveredLog {
   readonly term: number;
   readonly votedFor: string | undefined;
-  /** Entries up to here were known to be committed. */
+  /** Entries up to this index were known to be committed. */
   readonly commitIndex: number;
   readonly entries: readonly LogEntry[];
-  /** Bytes of an unfinished last write that were cut off. */
+  /** Bytes of an incomplete last record that were truncated. */
   readonly cutBytes: number;
 }
 
-/** Appends records and returns only when they are on disk. */
+/** Appends records, and resolves only after they are synced to disk. */
 export class WriteAheadLog {
   private constructor(
     private readonly storage: Storage,
     private readonly folder: string,
     private file: StorageFile,
-    /** What was found when the log was opened. */
+    /** The content of the log when it was opened. */
     readonly recovered: RecoveredLog,
-    /** Bytes that are known to be whole records on disk. */
-    private size: number,
+    /** Bytes of complete records known to be on disk. */
+    private durableBytes: number,
   ) {}
 
   /**
-   * Opens the log in a data folder, cutting off an unfinished last write.
+   * Opens the log in a data folder, and truncates an incomplete last record.
    *
-   * @throws StateError when a record in the middle is damaged
+   * @throws StateError if a complete record is corrupted
    * @example
    * const log = await WriteAheadLog.create('data');
    */
@@ -65,37 +65,41 @@
   /**
    * Appends records and waits until they are on disk.
    *
-   * @throws StateError named `DiskFull` when there is no room: nothing was
-   *     added, and the same records may be tried again; with another name the
-   *     log must not be used after that
+   * @throws StateError named `DiskFull` if the disk has no room: nothing was
+   *     appended, and the same records may be appended again. After an error with
+   *     any other name the log must not be used any more.
    */
   async append(records: readonly LogRecord[]): Promise<void> {
     const bytes = Buffer.concat(records.map(encodeRecord));
     try {
       await writeAll(this.file, bytes);
       await this.file.datasync();
-      this.size += bytes.length;
+      this.durableBytes += bytes.length;
     } catch (error) {
-      await this.cutTail(error as Error);
+      await this.handleFailedWrite(error as Error);
     }
   }
 
-  /** Takes back what a refused write left, so that the file ends with a whole record. */
-  private async cutTail(cause: Error): Promise<never> {
+  /** Truncates what a failed write left if the disk is full, so that the file ends with a complete record. Always throws. */
+  private async handleFailedWrite(cause: Error): Promise<never> {
     const isFull = (cause as NodeJS.ErrnoException).code === 'ENOSPC';
     const message = `cannot write the log in ${this.folder}`;
     if (!isFull) {
       throw new StateError(cause, message);
     }
     try {
-      await this.file.truncate(this.size);
+      await this.file.truncate(this.durableBytes);
     } catch (error) {
-      throw new StateError(error as Error, '%s, nor cut its tail', message);
+      throw new StateError(
+        error as Error,
+        '%s, nor truncate the incomplete record',
+        message,
+      );
     }
     throw new StateError({cause, name: 'DiskFull'}, message);
   }
 
-  /** Writes the log anew with only these records, after a snapshot. */
+  /** Atomically replaces the log by these records, after a snapshot. */
   async replaceAll(records: readonly LogRecord[]): Promise<void> {
     const name = path.join(this.folder, FILE_NAME);
     try {
@@ -103,11 +107,11 @@
       await replaceFile(this.storage, name, bytes);
       await this.file.close();
       this.file = await this.storage.open(name, 'add');
-      this.size = bytes.length;
+      this.durableBytes = bytes.length;
     } catch (error) {
       throw new StateError(
         {cause: error as Error, name: findErrorName(error as Error)},
-        'cannot write the log in %s anew',
+        'cannot rewrite the log in %s',
         this.folder,
       );
     }
@@ -132,7 +136,7 @@
   if (!parsed.success) {
     throw new StateError(
       parsed.error,
-      '%s holds a record of an unknown kind',
+      '%s contains a record of an unknown type',
       name,
     );
   }
@@ -151,17 +155,17 @@
     } else if (record.type === 'commit') {
       commitIndex = Math.max(commitIndex, record.index);
     } else if (record.type === 'truncate') {
-      dropFrom(entries, record.from);
+      truncateFrom(entries, record.from);
     } else {
-      // A rewritten log may hold an entry that an append behind it repeats.
-      dropFrom(entries, record.entry.index);
+      // A rewritten log may contain an entry that is appended again later.
+      truncateFrom(entries, record.entry.index);
       entries.push(record.entry);
     }
   }
   return {term, votedFor, commitIndex, entries};
 }
 
-function dropFrom(entries: LogEntry[], index: number): void {
+function truncateFrom(entries: LogEntry[], index: number): void {
   const firstIndex = entries[0]?.index ?? index;
   entries.length = Math.min(entries.length, Math.max(0, index - firstIndex));
 }
--- a/src/state/write_all.ts
+++ b/src/state/write_all.ts
@@ -1,4 +1,4 @@
-/** What is written to. */
+/** The part of a file handle that is needed for writing. */
 interface WritableFile {
   readonly write: (
     bytes: Buffer,
@@ -8,12 +8,12 @@
 }
 
 /**
- * Writes all bytes at the end of a file, with one write where the system takes them
- * so. The library's own appending cuts them up at 512 KiB, and after a loss of power
- * each part may be missing by itself: a gap in front of what is there.
+ * Appends all bytes to a file, in a single write unless the system writes fewer.
+ * Node's `appendFile` splits data into writes of 512 KiB, and after a power loss each
+ * of these may be missing on its own, which leaves a gap before a later one.
  *
  * @example
- * await writeWhole(file, bytes);
+ * await writeAll(file, bytes);
  */
 export async function writeAll(
   file: WritableFile,
@@ -21,8 +21,8 @@
 ): Promise<void> {
   let offset = 0;
   while (offset < bytes.length) {
-    const rest = bytes.length - offset;
-    const {bytesWritten} = await file.write(bytes, offset, rest);
+    const remaining = bytes.length - offset;
+    const {bytesWritten} = await file.write(bytes, offset, remaining);
     offset += bytesWritten;
   }
 }
--- a/test/common/lease_clock.test.ts
+++ b/test/common/lease_clock.test.ts
@@ -1,21 +1,20 @@
 /**
- * A machine was suspended for seconds and went on as if no time had passed: its
- * steady clock had stood still, so a confirmation from before was as young as when
- * it was asked for, while the others had elected another leader and taken a key
- * away. On a virtual clock a process that was away for 5,000 ms found its lease of
- * 450 ms held at the age of 10 ms.
+ * Guards against a lease that is still considered valid after a suspension. The
+ * monotonic clock stops while a machine is suspended, so after 5,000 ms a process found
+ * its lease of 450 ms only 10 ms old, while the others had elected another leader and
+ * revoked a key.
  */
 import {describe, expect, test} from 'vitest';
 import {LeaseClock} from '../../src/common/lease_clock';
 
-const AWAY_MS = 5_000;
+const SUSPENDED_MS = 5_000;
 
 function start() {
-  let steady = 1_000;
+  let monotonic = 1_000;
   let wall = 1_700_000_000_000;
   const pauses: number[] = [];
   const clock = LeaseClock.create({
-    monotonic: {now: () => steady},
+    monotonic: {now: () => monotonic},
     wall: () => Math.floor(wall),
     onPause: pause => pauses.push(pause.steppedMs),
   });
@@ -23,7 +22,7 @@
     clock,
     pauses,
     run: (ms: number) => {
-      steady += ms;
+      monotonic += ms;
       wall += ms;
     },
     suspend: (ms: number) => (wall += ms),
@@ -31,8 +30,8 @@
   };
 }
 
-describe('the clock of leases', () => {
-  test('goes with the steady clock as long as the process runs', () => {
+describe('a lease clock', () => {
+  test('follows the monotonic clock while the process runs', () => {
     const {clock, run, pauses} = start();
     const before = clock.now();
     for (let at = 0; at < 1_000; at += 1) {
@@ -43,17 +42,17 @@
     expect(pauses).toEqual([]);
   });
 
-  test('counts the time of a suspension at the first look after it', () => {
+  test('includes a suspension from the first reading after it', () => {
     const {clock, run, suspend, pauses} = start();
     const before = clock.now();
     run(10);
-    suspend(AWAY_MS);
-    expect(clock.now() - before).toBeGreaterThanOrEqual(AWAY_MS);
-    expect(pauses).toEqual([AWAY_MS]);
+    suspend(SUSPENDED_MS);
+    expect(clock.now() - before).toBeGreaterThanOrEqual(SUSPENDED_MS);
+    expect(pauses).toEqual([SUSPENDED_MS]);
     expect(clock.pausedAt).toBe(1_010);
   });
 
-  test('counts short suspensions together', () => {
+  test('adds up short suspensions', () => {
     const {clock, run, suspend} = start();
     const before = clock.now();
     for (let at = 0; at < 100; at += 1) {
@@ -63,16 +62,16 @@
     expect(clock.now() - before).toBeGreaterThanOrEqual(2_000);
   });
 
-  test('trusts nothing from before a step back, which may hide a suspension', () => {
+  test('expires all leases after a step back, which may hide a suspension', () => {
     const {clock, run, suspend, step} = start();
     const before = clock.now();
     run(10);
-    suspend(AWAY_MS);
-    step(-2 * AWAY_MS);
-    expect(clock.now() - before).toBeGreaterThanOrEqual(AWAY_MS);
+    suspend(SUSPENDED_MS);
+    step(-2 * SUSPENDED_MS);
+    expect(clock.now() - before).toBeGreaterThanOrEqual(SUSPENDED_MS);
   });
 
-  test('takes a step forward for a suspension, once', () => {
+  test('counts a step forward as a suspension, once', () => {
     const {clock, run, step} = start();
     const before = clock.now();
     step(2_000);
@@ -82,7 +81,7 @@
     expect(clock.now() - after).toBeCloseTo(100, -1);
   });
 
-  test('never goes back', () => {
+  test('never decreases', () => {
     const {clock, run, step} = start();
     let newest = clock.now();
     for (const ms of [-3_000, 2, -1, 40, -60, 5_000, -30, 30]) {
--- a/test/common/throttled_event_log.test.ts
+++ b/test/common/throttled_event_log.test.ts
@@ -2,24 +2,24 @@
 import {EventRing} from '../../src/common/event_ring';
 import {ThrottledEventLog} from '../../src/common/throttled_event_log';
 
-const line = {
+const event = {
   type: 'refused',
   subject: 'control',
   id: 'c',
   reason: 'no lease',
 } as const;
 
-test('a storm of one kind leaves a line a second, which counts those left out, and hides no other kind', () => {
+test('a burst of one kind is recorded once a second with the number left out, and other kinds are not affected', () => {
   const events = EventRing.create();
   let now = 0;
-  const lines = ThrottledEventLog.create(events, {now: () => now});
+  const log = ThrottledEventLog.create(events, {now: () => now});
 
-  lines.record('a', line);
-  lines.record('a', line);
-  lines.record('a', line);
-  lines.record('b', line);
+  log.record('a', event);
+  log.record('a', event);
+  log.record('a', event);
+  log.record('b', event);
   now = 1_000;
-  lines.record('a', line);
+  log.record('a', event);
 
   expect(events.listSince(0).map(({details}) => details)).toEqual([
     undefined,
