--- a/test/state/disk_full.test.ts
+++ b/test/state/disk_full.test.ts
@@ -13,7 +13,7 @@
   return {type: 'entry', entry: {index, term: 1, command}};
 }
 
-/** Lets the next append write a few bytes and then find the disk full. */
+/** Makes the next append write five bytes and then fail with ENOSPC. */
 async function fillDisk(folder: string): Promise<void> {
   const probe = await open(path.join(folder, 'probe'), 'w');
   const prototype = Object.getPrototypeOf(probe) as typeof probe;
@@ -30,8 +30,8 @@
   });
 }
 
-describe('a log on a disk that is full', () => {
-  test('says so, and takes the same records once there is room', async () => {
+describe('a log on a full disk', () => {
+  test('rejects an append with DiskFull, and accepts the same records once there is room', async () => {
     const folder = mkdtempSync(path.join(tmpdir(), 'whinreel-full-'));
     const log = await WriteAheadLog.create(folder);
     await log.append([record(1)]);
@@ -47,7 +47,7 @@
     expect(recovered.cutBytes).toBe(0);
   });
 
-  test('keeps the commit index beside the entries', async () => {
+  test('recovers the commit index with the entries', async () => {
     const folder = mkdtempSync(path.join(tmpdir(), 'whinreel-commit-'));
     const log = await WriteAheadLog.create(folder);
     await log.append([{type: 'commit', index: 1}, record(1), record(2)]);
--- a/test/state/engine_tables.test.ts
+++ b/test/state/engine_tables.test.ts
@@ -12,7 +12,7 @@
   idleTimeoutMs: 1,
 };
 
-/** Applies commands one after the other. */
+/** Creates a state, and a function that applies commands at consecutive log indexes. */
 function createState() {
   const state = ClusterState.create();
   let index = 0;
@@ -51,22 +51,22 @@
   return {type, time: 0, name, epoch, reason: 'test'};
 }
 
-describe('bundles of a channel', () => {
-  test('the highest version holds, whatever came first', () => {
+describe('the channel bundle table', () => {
+  test('keeps the highest version, whatever the order of arrival', () => {
     const {state, apply} = createState();
     expect(apply(accept(7)).isAccepted).toBe(true);
     expect(apply(accept(5)).isAccepted).toBe(false);
     expect(state.channelBundles.version).toBe(7);
   });
 
-  test('other content under the version in force is not taken', () => {
+  test('ignores other content under the version in force', () => {
     const {state, apply} = createState();
     apply(accept(7, 'first'));
     apply(accept(7, 'second'));
     expect(state.channelBundles.source).toBe('first');
   });
 
-  test('a snapshot keeps what the operator sent to the byte', () => {
+  test('restores the source byte for byte from a snapshot', () => {
     const {state, apply} = createState();
     apply(accept(7, '{"version": 7 }'));
     const restored = ClusterState.create(state.save());
@@ -75,22 +75,22 @@
   });
 });
 
-describe('groups of engines', () => {
-  test('get their place in the log as epoch', () => {
+describe('the engine group table', () => {
+  test('sets the log index as the epoch of a group', () => {
     const {state, apply} = createState();
     apply(accept(1));
     apply(set('g', ['a', 'b']));
     expect(state.engineGroups.list()[0].epoch).toBe(2);
   });
 
-  test('share no member', () => {
+  test('refuses a group that shares a member with another', () => {
     const {state, apply} = createState();
     apply(set('g', ['a', 'b']));
     expect(apply(set('h', ['b', 'c'])).isAccepted).toBe(false);
     expect(state.engineGroups.list()).toHaveLength(1);
   });
 
-  test('are changed only under the epoch that is meant', () => {
+  test('changes a group only under its current epoch', () => {
     const {state, apply} = createState();
     apply(set('g', ['a', 'b']));
     apply(set('g', ['a', 'c']));
@@ -104,7 +104,7 @@
     });
   });
 
-  test('and retired backend servers outlive a snapshot', () => {
+  test('restores groups and retired backend servers from a snapshot', () => {
     const {state, apply} = createState();
     apply(set('g', ['a', 'b']));
     const incarnation = 'x';
@@ -114,7 +114,7 @@
     expect(restored.engineGroups.isRetired('x')).toBe(true);
   });
 
-  test('leave their reasons in the journal', () => {
+  test('records accepted changes in the journal', () => {
     const {state, apply} = createState();
     apply(set('g', ['a', 'b']));
     apply(change('end-engine-group', 'g', 1));
--- a/test/state/suspect_table.test.ts
+++ b/test/state/suspect_table.test.ts
@@ -6,7 +6,7 @@
 const CALLER = 'aaaaaaaa';
 const LONG_MS = 60_000;
 
-/** A table, and a clock that only goes on when it is told. */
+/** Creates a table, and helpers that use a virtual clock. */
 function start() {
   const table = SuspectTable.create();
   let time = 1_000;
@@ -18,7 +18,7 @@
     grant: (name: string, incarnation: string) =>
       table.beginTrial(name, incarnation, time),
     standing: (name: string) => table.find(name)?.standing,
-    /** Lets the time pass after which two ends convict, and has somebody ask. */
+    /** Advances the clock past the crash window and requests a trial, which convicts after two crashes. */
     convict: (name: string) => {
       time += WAVE_MS;
       return table.beginTrial(name, 'somewhere', time);
@@ -27,7 +27,7 @@
 }
 
 describe('a request', () => {
-  test('is suspected after one end, held back after two, and convicted once no other ended near', () => {
+  test('is suspected after one crash, gets no trial after two, and is convicted if no other server crashed close to them', () => {
     const {end, wait, grant, standing} = start();
     end('i1', ['p', 'h1', 'h2']);
     expect(standing('p')).toBe('suspected');
@@ -41,7 +41,7 @@
     expect(standing('p')).toBe('convicted');
   });
 
-  test('that was only near is free once it is known who did it', () => {
+  test('that was only present is freed once another one is convicted of the crash', () => {
     const {end, wait, standing, convict} = start();
     end('i1', ['p', 'h1'], ['h2']);
     wait(500);
@@ -53,7 +53,7 @@
     );
   });
 
-  test('is not convicted while another was there each time', () => {
+  test('is not convicted while another request was present at each crash', () => {
     const {end, wait, standing} = start();
     end('i1', ['p', 'q']);
     wait(500);
@@ -64,7 +64,7 @@
     expect([standing('p'), standing('q')]).toEqual(['convicted', undefined]);
   });
 
-  test('that met two ends of a wave is not convicted, and after three it is', () => {
+  test('is not convicted after two crashes of which one is correlated, but after three', () => {
     const {end, wait, grant, standing} = start();
     end('i1', ['p']);
     end('i9', ['h1']);
@@ -77,7 +77,7 @@
     expect(standing('p')).toBe('convicted');
   });
 
-  test('is not convicted of two ends when another ends right after the second', () => {
+  test('is not convicted of two crashes if another server crashes right after the second', () => {
     const {end, wait, grant} = start();
     end('i1', ['p']);
     wait(500);
@@ -88,7 +88,7 @@
     expect(grant('p', 'i3')).toBe('granted');
   });
 
-  test('that had begun to answer each time is convicted after three ends', () => {
+  test('whose response had started each time is convicted after three crashes', () => {
     const {end, wait, grant, standing} = start();
     for (const incarnation of ['i1', 'i2', 'i3']) {
       expect(standing('p')).not.toBe('convicted');
@@ -98,7 +98,7 @@
     expect(grant('p', 'i4')).toBe('convicted');
   });
 
-  test('that ran to its end is cleared, also where one like it is convicted', () => {
+  test('that ran to completion is cleared, even if it was convicted', () => {
     const {table, end, wait, standing, convict} = start();
     end('i1', ['p', 'h1']);
     table.clearSuspect('h1');
@@ -114,7 +114,7 @@
     ]);
   });
 
-  test('is let go by an operator, once', () => {
+  test('is freed by an operator, once', () => {
     const {table, end, wait, standing, convict} = start();
     end('i1', ['p']);
     wait(500);
@@ -125,7 +125,7 @@
     expect(table.revokeVerdict('p', 'ordered')).toBe(false);
   });
 
-  test('is convicted of two ends once it is known that another one ended what ended near', () => {
+  test('is convicted of two crashes once the correlated crash is explained by another request', () => {
     const {end, wait, standing, convict} = start();
     end('i1', ['p']);
     wait(500);
@@ -139,7 +139,7 @@
     expect([standing('p'), standing('q')]).toEqual(['convicted', 'convicted']);
   });
 
-  test('is not suspected by an end that was none', () => {
+  test('is not suspected for a crash that was withdrawn', () => {
     const {table, end, wait, standing, convict} = start();
     end('i1', ['p', 'h1']);
     wait(500);
@@ -151,7 +151,7 @@
     expect(standing('p')).toBeUndefined();
   });
 
-  test('stays convicted however long it is ago', () => {
+  test('stays convicted however much time passes', () => {
     const {end, wait, standing, convict} = start();
     end('i1', ['p']);
     wait(500);
@@ -164,7 +164,7 @@
 });
 
 describe('a trial', () => {
-  test('is given to one suspect at a backend server, and to a suspect at one only', () => {
+  test('is granted to one suspect per backend server, and to a suspect on one backend server only', () => {
     const {table, end, grant} = start();
     end('i1', ['p', 'q']);
     expect(grant('p', 'i2')).toBe('granted');
@@ -176,7 +176,7 @@
     expect(grant('p', 'i2')).toBe('granted');
   });
 
-  test('is not needed by those against whom nothing is held, and never given to a convicted one', () => {
+  test('is not needed by a request without evidence, and never granted to a convicted one', () => {
     const {end, wait, grant, convict} = start();
     expect(grant('h1', 'i1')).toBe('free');
     end('i1', ['p']);
@@ -186,7 +186,7 @@
     expect(grant('p', 'i3')).toBe('convicted');
   });
 
-  test('of a gateway that never came back ends by itself', () => {
+  test('of a gateway that never reports back expires', () => {
     const {end, wait, grant} = start();
     end('i1', ['p', 'q']);
     expect(grant('p', 'i2')).toBe('granted');
@@ -195,8 +195,8 @@
   });
 });
 
-describe('the list', () => {
-  test('tells changes to those that follow, and everything to others', () => {
+describe('the suspect list', () => {
+  test('returns changes for a known version, and the whole list otherwise', () => {
     const {table, end, wait, convict} = start();
     end('i1', ['p', 'h1']);
     const {version} = table;
@@ -217,7 +217,7 @@
     );
   });
 
-  test('forgets of a caller with too many first, mere presence before verdicts', () => {
+  test('evicts from a caller over its limit first, and suspects before convicted requests', () => {
     const {end, wait, standing, table, convict} = start();
     end('i1', ['bbbbbbbb-other']);
     wait(LONG_MS);
@@ -238,8 +238,8 @@
   });
 });
 
-/** A step that some gateway or the fleet takes. */
-const step = fc.record({
+/** One random operation on the table. */
+const operation = fc.record({
   kind: fc.constantFrom('end', 'clear', 'release', 'trial', 'withdraw'),
   server: fc.nat(30),
   names: fc.uniqueArray(fc.nat(20), {minLength: 1, maxLength: 5}),
@@ -247,16 +247,16 @@
   waitMs: fc.nat(3_000),
 });
 
-test('nobody is convicted without two ends, and followers always hold what the table holds', () => {
+test('no request is convicted without two crashes, and a follower of the changes always has the current list', () => {
   fc.assert(
-    fc.property(fc.array(step, {maxLength: 60}), steps => {
+    fc.property(fc.array(operation, {maxLength: 60}), operations => {
       const {table, wait, end, grant} = start();
       const held = new Map<string, string>();
       let version = 0;
-      for (const {kind, server, names, begun, waitMs} of steps) {
+      for (const {kind, server, names, begun, waitMs} of operations) {
         wait(waitMs);
         const callers = names.map(name => `${CALLER}${name}`);
-        const acts = {
+        const apply = {
           end: () =>
             begun ? end(`i${server}`, [], callers) : end(`i${server}`, callers),
           clear: () => table.clearSuspect(callers[0]),
@@ -264,7 +264,7 @@
           trial: () => grant(callers[0], `i${server}`),
           withdraw: () => table.withdrawCrash(`i${server}`),
         };
-        acts[kind]();
+        apply[kind]();
         const news = table.listChangesSince(version);
         if (news.isWhole) {
           held.clear();
--- a/test/state/tables.test.ts
+++ b/test/state/tables.test.ts
@@ -39,8 +39,8 @@
   } as const;
 }
 
-describe('claims', () => {
-  test('one key is granted to one attempt; others hear that it runs', () => {
+describe('the claim table', () => {
+  test('grants a key to one attempt; others are told that it is in progress', () => {
     const claims = ClaimTable.create();
 
     expect(claims.claim(createClaim()).status).toBe('granted');
@@ -51,7 +51,7 @@
     });
   });
 
-  test('an attempt that surely never ran frees the key; any other outcome keeps it', () => {
+  test('frees the key of an attempt that certainly did not run; any other outcome keeps it', () => {
     const claims = ClaimTable.create();
     claims.claim(createClaim());
     claims.resolve(resolve('r1.1', 'not-run'));
@@ -67,7 +67,7 @@
     });
   });
 
-  test('only the attempt that holds the key records an outcome, and the first one stands', () => {
+  test('records only the first outcome of the attempt that holds the key', () => {
     const claims = ClaimTable.create();
     claims.claim(createClaim());
 
@@ -76,7 +76,7 @@
     expect(claims.resolve(resolve('r1.1', 'not-run'))).toBe(false);
   });
 
-  test('the same key with another request is refused, before and after the end', () => {
+  test('refuses the same key with a different request, before and after the attempt has ended', () => {
     const claims = ClaimTable.create();
     claims.claim(createClaim());
 
@@ -89,7 +89,7 @@
     ).toBe('key-reused');
   });
 
-  test('claims expire by committed time only', () => {
+  test('expires claims by committed time only', () => {
     const claims = ClaimTable.create();
     claims.claim(createClaim({time: 1_000}));
     claims.expire(1_000);
@@ -99,7 +99,7 @@
   });
 });
 
-describe('groups', () => {
+describe('the group table', () => {
   const group = {
     id: 'g',
     epoch: 1,
@@ -112,7 +112,7 @@
     isDraining: false,
   } as const;
 
-  test('a host that belongs to one group is refused to another', () => {
+  test('refuses a group with a host that belongs to another one', () => {
     const groups = GroupTable.create();
     groups.set({...group, members: [...group.members]});
 
@@ -124,7 +124,7 @@
     });
   });
 
-  test('an epoch is never used again, also after the group was removed', () => {
+  test('never reuses an epoch, even after the group was removed', () => {
     const groups = GroupTable.create();
     groups.set({...group, members: [...group.members]});
     groups.remove('g', 1);
@@ -138,7 +138,7 @@
   });
 });
 
-test('tables that were saved and read again are the same', () => {
+test('the state is the same after it was saved and restored', () => {
   const state = ClusterState.create();
   state.apply({index: 1, term: 1, command: createClaim()});
   state.apply({
--- a/test/state/write_ahead_log.test.ts
+++ b/test/state/write_ahead_log.test.ts
@@ -34,7 +34,7 @@
   return log.recovered.entries.map(entry => entry.index);
 }
 
-test('what was appended is there after a restart, with term and vote', async () => {
+test('appended entries, the term and the vote survive a restart', async () => {
   await write([
     createEntry(1),
     createEntry(2),
@@ -47,30 +47,30 @@
   await log.close();
 });
 
-test('a truncated suffix stays gone', async () => {
+test('a truncated suffix is not recovered', async () => {
   await write([createEntry(1), createEntry(2), createEntry(3)]);
   await write([{type: 'truncate', from: 2}, createEntry(2, 2)]);
 
   expect(await readIndexes()).toEqual([1, 2]);
 });
 
-test('an unfinished last write is cut off at every possible length, and earlier records stay', async () => {
+test('an incomplete last record of any length is truncated, and earlier records are kept', async () => {
   await write([createEntry(1), createEntry(2)]);
-  const whole = readFileSync(file);
+  const before = readFileSync(file);
   await write([createEntry(3)]);
-  const longer = readFileSync(file);
-  for (let length = whole.length; length < longer.length; length += 1) {
-    writeFileSync(file, longer.subarray(0, length));
+  const after = readFileSync(file);
+  for (let length = before.length; length < after.length; length += 1) {
+    writeFileSync(file, after.subarray(0, length));
     expect(await readIndexes()).toEqual([1, 2]);
   }
 });
 
-test('a flipped bit anywhere in a whole record is refused loudly and changes nothing', async () => {
+test('a flipped bit anywhere in a complete record fails opening and leaves the file unchanged', async () => {
   await write([createEntry(1), createEntry(2), createEntry(3)]);
-  const whole = readFileSync(file);
+  const intact = readFileSync(file);
   await fc.assert(
-    fc.asyncProperty(fc.nat(whole.length - 1), fc.nat(7), async (at, bit) => {
-      const damaged = Buffer.from(whole);
+    fc.asyncProperty(fc.nat(intact.length - 1), fc.nat(7), async (at, bit) => {
+      const damaged = Buffer.from(intact);
       damaged[at] ^= 1 << bit;
       writeFileSync(file, damaged);
       await expect(WriteAheadLog.create(folder)).rejects.toThrow(
@@ -82,7 +82,7 @@
   );
 });
 
-test('a log that was written anew may repeat an entry without doubling it', async () => {
+test('an entry that is appended again to a rewritten log is recovered once', async () => {
   const log = await WriteAheadLog.create(folder);
   await log.append([createEntry(1), createEntry(2)]);
   await log.replaceAll([createEntry(2), createEntry(3)]);
@@ -92,7 +92,7 @@
   expect(await readIndexes()).toEqual([2, 3, 4]);
 });
 
-test('a full disk fails the append instead of acknowledging it', async () => {
+test('an append rejects when the write fails', async () => {
   const log = await WriteAheadLog.create(folder);
   await log.close();
 
@@ -101,7 +101,7 @@
   );
 });
 
-test('a damaged snapshot is refused', async () => {
+test('opening a corrupted snapshot fails', async () => {
   const store = await SnapshotStore.create(folder);
   await store.save({
     index: 7,
--- a/test/state/write_all.test.ts
+++ b/test/state/write_all.test.ts
@@ -1,29 +1,29 @@
 /**
- * After a loss of power each write since the last sync may be there or missing by
- * itself. An append of over 512 KiB left in several writes, since the library's
- * appending cuts it up so; with the first one missing and a later one there the log
- * held a gap, and its process refused it as damaged and never came back. An append
- * that is one write is there, missing, or cut short, and each of these is read.
+ * Guards against a gap in the log after a power loss, which makes its process refuse
+ * to start. Each write since the last sync may be missing on its own, and Node's
+ * `appendFile` splits data into writes of 512 KiB, so the first could be missing and a
+ * later one present. A single write is complete, missing or cut short, and the log can
+ * be read in each case.
  */
 import {expect, test} from 'vitest';
 import {writeAll} from '../../src/state/write_all';
 
 const MEGABYTE = 1024 * 1024;
 
-/** A file that takes at most so many bytes with one write. */
-function createFile(mostBytes: number) {
+/** A file that accepts at most `maxBytes` in one write. */
+function createFile(maxBytes: number) {
   const writes: number[] = [];
-  const taken: Buffer[] = [];
+  const written: Buffer[] = [];
   const write = (bytes: Buffer, offset: number, length: number) => {
-    const bytesWritten = Math.min(length, mostBytes);
+    const bytesWritten = Math.min(length, maxBytes);
     writes.push(length);
-    taken.push(Buffer.from(bytes.subarray(offset, offset + bytesWritten)));
+    written.push(Buffer.from(bytes.subarray(offset, offset + bytesWritten)));
     return Promise.resolve({bytesWritten});
   };
-  return {file: {write}, writes, read: () => Buffer.concat(taken)};
+  return {file: {write}, writes, read: () => Buffer.concat(written)};
 }
 
-test('bytes of any size leave in one write', async () => {
+test('bytes of any size are passed to one write', async () => {
   const {file, writes, read} = createFile(Infinity);
   const bytes = Buffer.alloc(3 * MEGABYTE, 'x');
 
@@ -33,7 +33,7 @@
   expect(read().equals(bytes)).toBe(true);
 });
 
-test('what a write did not take goes into the next', async () => {
+test('bytes that a write did not accept go into the next write', async () => {
   const {file, writes, read} = createFile(4);
 
   await writeAll(file, Buffer.from('abcdefghij'));
