--- a/src/control/engine_planner_loop.ts
+++ b/src/control/engine_planner_loop.ts
@@ -88,7 +88,7 @@
   private async run(): Promise<void> {
     const {runtime, clock, duties, registry} = this.options;
     const now = clock.now();
-    this.release.refresh(runtime.state.engineGroups.list(), now);
+    this.release.refresh(runtime.state.engines.list(), now);
     const listenMs = duties.heartbeatMs * LISTEN_INTERVALS;
     const isListening = now - runtime.leadingSince < listenMs;
     if (!runtime.canAnswer() || this.isCommitting || isListening) {
@@ -105,7 +105,7 @@
     this.orders.retain(new Set(known));
     this.isCommitting = true;
     try {
-      for (const pool of runtime.state.channelBundles.rules?.pools ?? []) {
+      for (const pool of runtime.state.channel.rules?.pools ?? []) {
         await this.planPool(pool, now);
       }
     } finally {
@@ -115,7 +115,7 @@
 
   private async planPool(pool: Pool, now: number): Promise<void> {
     const {runtime, registry, duties, desk} = this.options;
-    const {engineGroups: engines} = runtime.state;
+    const {engines} = runtime.state;
     if (!pool.engine) {
       return;
     }
@@ -216,7 +216,7 @@
   }
 
   private listWell(backends: readonly BackendView[]): BackendView[] {
-    const {engineGroups: engines} = this.options.runtime.state;
+    const {engines} = this.options.runtime.state;
     return backends.filter(
       ({registration: {incarnation}}) =>
         !engines.isRetired(incarnation) && !this.health.isLost(incarnation),
--- a/src/control/gateway_desk.ts
+++ b/src/control/gateway_desk.ts
@@ -139,7 +139,7 @@
       'channel-bundle-ask': (ask: Ask<'channel-bundle-ask'>) =>
         this.acceptBundle(ask),
       'source-ask': ({call}: Ask<'source-ask'>): ControlMessage => {
-        const source = this.options.runtime.state.channelBundles.source ?? null;
+        const source = this.options.runtime.state.channel.source ?? null;
         return {type: 'source-answer', call, source};
       },
       'registration-ask': (ask: Ask<'registration-ask'>) =>
@@ -163,12 +163,12 @@
     }
     const wrong = findWrongRules(bundle);
     if (wrong !== undefined) {
-      const {version} = runtime.state.channelBundles;
+      const {version} = runtime.state.channel;
       this.recordBundle(bundle, 'bundle-refused', wrong, startedAt);
       return {type: 'channel-bundle-answer', call, version, reason: wrong};
     }
     const reason = await this.writeOnce(bundle);
-    const {version} = runtime.state.channelBundles;
+    const {version} = runtime.state.channel;
     this.recordBundle(bundle, 'bundle-taken', reason, startedAt);
     return {type: 'channel-bundle-answer', call, version, reason};
   }
@@ -177,7 +177,7 @@
   private async writeOnce(bundle: ChannelBundle): Promise<string> {
     const {runtime} = this.options;
     const {version} = bundle.rules;
-    const inForce = runtime.state.channelBundles.version;
+    const inForce = runtime.state.channel.version;
     if (version <= inForce) {
       return `version ${inForce} is in force, so ${version} changes nothing`;
     }
@@ -236,7 +236,7 @@
     const now = clock.now();
     const tag = this.table.readTag(now);
     const isNewTable = ask.tableTag !== tag;
-    const isNewRules = ask.rulesVersion !== state.channelBundles.version;
+    const isNewRules = ask.rulesVersion !== state.channel.version;
     const {suspects} = state;
     const {suspectsVersion = 0, limitsTag} = ask;
     const newLimitsTag = this.limits.readTag();
@@ -244,9 +244,9 @@
     return {
       type: 'gateway-answer',
       call: ask.call,
-      rulesVersion: state.channelBundles.version,
+      rulesVersion: state.channel.version,
       rules: isNewRules
-        ? this.encodedRules.read(state.channelBundles.rules)
+        ? this.encodedRules.read(state.channel.rules)
         : undefined,
       tableTag: tag,
       ...(isNewTable ? this.table.describeSince(ask.tableTag, now) : {}),
@@ -272,7 +272,7 @@
     for (;;) {
       const now = clock.now();
       const isUpToDate =
-        ask.rulesVersion === runtime.state.channelBundles.version &&
+        ask.rulesVersion === runtime.state.channel.version &&
         (ask.suspectsVersion ?? 0) === runtime.state.suspects.version &&
         (ask.limitsTag ?? this.limits.readTag()) === this.limits.readTag() &&
         ask.tableTag === this.table.readTag(now);
--- a/src/control/registration_desk.ts
+++ b/src/control/registration_desk.ts
@@ -93,7 +93,7 @@
   }: Ask<'leaving-ask'>): Promise<ControlMessage> {
     const {runtime, events} = this.options;
     const isNews = (incarnation: string) =>
-      !runtime.state.engineGroups.isRetired(incarnation);
+      !runtime.state.engines.isRetired(incarnation);
     for (const incarnation of incarnations.filter(isNews)) {
       const reason = 'it says in its answers that it leaves';
       events.record({
@@ -114,7 +114,7 @@
     startedAt,
   }: BackendRegistration): string | undefined {
     const {runtime, registry} = this.options;
-    const {rules} = runtime.state.channelBundles;
+    const {rules} = runtime.state.channel;
     if (rules && !rules.pools.some(({name}) => name === pool)) {
       return `the rules know no pool "${pool}"`;
     }
@@ -145,7 +145,7 @@
   }
 
   private listMembers() {
-    const {engineGroups: engines} = this.options.runtime.state;
+    const {engines} = this.options.runtime.state;
     return engines.list().flatMap(({members}) => members);
   }
 
@@ -187,7 +187,7 @@
   /** An acknowledged departure must outlive this leader, so it goes into the log. */
   private async retire(incarnation: string, reason: string): Promise<void> {
     const {runtime} = this.options;
-    if (runtime.state.engineGroups.isRetired(incarnation)) {
+    if (runtime.state.engines.isRetired(incarnation)) {
       return;
     }
     checkCopies(this.options);
--- a/src/control/target_table.ts
+++ b/src/control/target_table.ts
@@ -103,7 +103,7 @@
   /** Works out what changed since the last look; nothing, most of the time. */
   private refresh(now: number): void {
     const {registry, runtime, leaderName} = this.options;
-    const {engineGroups: engines, channelBundles: channel} = runtime.state;
+    const {engines, channel} = runtime.state;
     const {term} = runtime.raft;
     const isComplete = this.isComplete(now);
     const era = `${leaderName}/${term}/${isComplete ? 'all' : 'some'}`;
@@ -135,7 +135,7 @@
   private recordTargets(): void {
     const {registry, runtime} = this.options;
     const views = registry.list();
-    const groups = runtime.state.engineGroups.list();
+    const groups = runtime.state.engines.list();
     const byHead = new Map(
       groups.map(group => [group.members[0].incarnation, group]),
     );
@@ -195,8 +195,7 @@
     views: readonly BackendView[],
     groups: readonly EngineGroup[],
   ): GatewayTarget[] {
-    const {engineGroups: engines, channelBundles: channel} =
-      this.options.runtime.state;
+    const {engines, channel} = this.options.runtime.state;
     const heard = new Set(
       views.flatMap(({registration: {address, name}}) => [address, name]),
     );
@@ -222,8 +221,7 @@
     {registration}: BackendView,
     wanted: EngineGroup | undefined,
   ): GatewayTarget | undefined {
-    const {engineGroups: engines, channelBundles: channel} =
-      this.options.runtime.state;
+    const {engines, channel} = this.options.runtime.state;
     const {incarnation, name, pool, address, zone, slots, group} = registration;
     const known = channel.rules?.pools.find(other => other.name === pool);
     if (!known || engines.isRetired(incarnation)) {
--- a/src/state/cluster_state.ts
+++ b/src/state/cluster_state.ts
@@ -45,8 +45,8 @@
   readonly bundles: BundleTable;
   readonly groups: GroupTable;
   readonly claims: ClaimTable;
-  readonly channelBundles: ChannelBundleTable;
-  readonly engineGroups: EngineGroupTable;
+  readonly channel: ChannelBundleTable;
+  readonly engines: EngineGroupTable;
   readonly suspects: SuspectTable;
   private readonly drained: Set<string>;
   private journal: JournalEntry[];
@@ -56,10 +56,8 @@
     this.bundles = BundleTable.create(snapshot?.bundles);
     this.groups = GroupTable.create(snapshot?.groups);
     this.claims = ClaimTable.create(snapshot?.claims);
-    this.channelBundles = ChannelBundleTable.create(
-      snapshot?.channel ?? undefined,
-    );
-    this.engineGroups = EngineGroupTable.create(snapshot?.engines ?? undefined);
+    this.channel = ChannelBundleTable.create(snapshot?.channel ?? undefined);
+    this.engines = EngineGroupTable.create(snapshot?.engines ?? undefined);
     this.suspects = SuspectTable.create(snapshot?.suspects ?? undefined);
     this.drained = new Set(snapshot?.drained);
     this.journal = snapshot?.journal ?? [];
@@ -90,8 +88,8 @@
     return (
       this.groups.version +
       this.bundles.version +
-      this.channelBundles.version +
-      this.engineGroups.version +
+      this.channel.version +
+      this.engines.version +
       this.suspects.version
     );
   }
@@ -131,8 +129,8 @@
       claims: this.claims.save(),
       drained: [...this.drained],
       journal: this.journal,
-      channel: this.channelBundles.save(),
-      engines: this.engineGroups.save(),
+      channel: this.channel.save(),
+      engines: this.engines.save(),
       suspects: this.suspects.save(),
     });
   }
@@ -154,7 +152,7 @@
     },
     'roll-out': (command, index) => this.rollOut(command, index),
     'accept-channel-bundle': ({bundle}, index) => {
-      const result = this.channelBundles.accept(bundle);
+      const result = this.channel.accept(bundle);
       if (result.isAccepted) {
         const reason = `came in over the channel ${bundle.channel}, unsigned`;
         const id = String(bundle.rules.version);
@@ -164,8 +162,8 @@
       return result;
     },
     'retire-backend': ({incarnation: id, reason}, index) => {
-      const isNew = !this.engineGroups.isRetired(id);
-      const result = this.engineGroups.retire(id);
+      const isNew = !this.engines.isRetired(id);
+      const result = this.engines.retire(id);
       if (isNew) {
         const type = 'backend-retired';
         this.recordJournalEntry(index, {type, subject: 'host', id, reason});
@@ -173,7 +171,7 @@
       return result;
     },
     'set-engine-group': ({group, reason}, index) => {
-      const result = this.engineGroups.set({...group, epoch: index});
+      const result = this.engines.set({...group, epoch: index});
       this.recordJournalEntry(index, {
         type: result.isAccepted ? 'group-set' : 'group-refused',
         subject: 'group',
@@ -187,17 +185,17 @@
       return result;
     },
     'end-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engineGroups.markEnding(name, epoch);
+      const result = this.engines.markEnding(name, epoch);
       const change = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-ending', change, result);
     },
     'release-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engineGroups.markReleased(name, epoch);
+      const result = this.engines.markReleased(name, epoch);
       const change = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-released', change, result);
     },
     'remove-engine-group': ({name, epoch, reason}, index) => {
-      const result = this.engineGroups.remove(name, epoch);
+      const result = this.engines.remove(name, epoch);
       const change = {groupId: name, reason};
       return this.recordGroupChange(index, 'group-removed', change, result);
     },
@@ -255,7 +253,7 @@
   ): CommandResult {
     for (const crash of command.crashes) {
       // A retired backend server has announced its shutdown, so its end is no crash.
-      if (!this.engineGroups.isRetired(crash.incarnation)) {
+      if (!this.engines.isRetired(crash.incarnation)) {
         this.suspects.recordCrash(crash, this.committedTime);
       }
     }
--- a/test/simulation/find_broken_promise.ts
+++ b/test/simulation/find_broken_promise.ts
@@ -11,7 +11,7 @@
   if (!runtime) {
     return undefined;
   }
-  const {version, source} = runtime.state.channelBundles;
+  const {version, source} = runtime.state.channel;
   if (version < acked) {
     return `${name} answers with version ${version}; ${acked} was acknowledged`;
   }
--- a/test/state/engine_tables.test.ts
+++ b/test/state/engine_tables.test.ts
@@ -56,22 +56,22 @@
     const {state, apply} = createState();
     expect(apply(accept(7)).isAccepted).toBe(true);
     expect(apply(accept(5)).isAccepted).toBe(false);
-    expect(state.channelBundles.version).toBe(7);
+    expect(state.channel.version).toBe(7);
   });
 
   test('ignores other content under the version in force', () => {
     const {state, apply} = createState();
     apply(accept(7, 'first'));
     apply(accept(7, 'second'));
-    expect(state.channelBundles.source).toBe('first');
+    expect(state.channel.source).toBe('first');
   });
 
   test('restores the source byte for byte from a snapshot', () => {
     const {state, apply} = createState();
     apply(accept(7, '{"version": 7 }'));
     const restored = ClusterState.create(state.save());
-    expect(restored.channelBundles.source).toBe('{"version": 7 }');
-    expect(restored.channelBundles.rules?.version).toBe(7);
+    expect(restored.channel.source).toBe('{"version": 7 }');
+    expect(restored.channel.rules?.version).toBe(7);
   });
 });
 
@@ -80,14 +80,14 @@
     const {state, apply} = createState();
     apply(accept(1));
     apply(set('g', ['a', 'b']));
-    expect(state.engineGroups.list()[0].epoch).toBe(2);
+    expect(state.engines.list()[0].epoch).toBe(2);
   });
 
   test('refuses a group that shares a member with another', () => {
     const {state, apply} = createState();
     apply(set('g', ['a', 'b']));
     expect(apply(set('h', ['b', 'c'])).isAccepted).toBe(false);
-    expect(state.engineGroups.list()).toHaveLength(1);
+    expect(state.engines.list()).toHaveLength(1);
   });
 
   test('changes a group only under its current epoch', () => {
@@ -98,7 +98,7 @@
     expect(apply(change('end-engine-group', 'g', 1)).isAccepted).toBe(false);
     apply(change('end-engine-group', 'g', 2));
     apply(change('release-engine-group', 'g', 2));
-    expect(state.engineGroups.list()[0]).toMatchObject({
+    expect(state.engines.list()[0]).toMatchObject({
       isEnding: true,
       isReleased: true,
     });
@@ -110,8 +110,8 @@
     const incarnation = 'x';
     apply({type: 'retire-backend', time: 0, incarnation, reason: 'test'});
     const restored = ClusterState.create(state.save());
-    expect(restored.engineGroups.list()).toEqual(state.engineGroups.list());
-    expect(restored.engineGroups.isRetired('x')).toBe(true);
+    expect(restored.engines.list()).toEqual(state.engines.list());
+    expect(restored.engines.isRetired('x')).toBe(true);
   });
 
   test('records accepted changes in the journal', () => {
