--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -7,12 +7,12 @@
 import {listDemands} from '../src/coordination/groups/list_demands';
 import {PlanContext} from '../src/coordination/groups/plan_context';
 import {planFormation} from '../src/coordination/groups/plan_formation';
-import {Group} from '../src/protocol/group';
+import {ReplicaGroup} from '../src/protocol/replica_group';
 import {RepairPolicy} from './virtual_fleet';
 
-type Member = Group['members'][number];
+type Member = ReplicaGroup['members'][number];
 type Repair = (
-  group: Group,
+  group: ReplicaGroup,
   lost: readonly Member[],
   context: PlanContext,
 ) => GroupAction | undefined;
@@ -48,7 +48,7 @@
 };
 
 function replace(
-  group: Group,
+  group: ReplicaGroup,
   lost: readonly Member[],
   context: PlanContext,
 ): GroupAction | undefined {
--- a/src/config/load_security.ts
+++ b/src/config/load_security.ts
@@ -1,6 +1,6 @@
 import {readFileSync} from 'node:fs';
 import {z} from 'zod';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {securitySettings} from './security_settings';
 import {UsageError} from './usage_error';
 
@@ -15,7 +15,7 @@
 export function loadSecurity(
   settings: z.infer<typeof securitySettings>,
   listenHost: string,
-): TransportSecurity | undefined {
+): TlsCredentials | undefined {
   const {tlsAuthority, tlsCertificate, tlsKey, allowPlainTcp} = settings;
   const given = [tlsAuthority, tlsCertificate, tlsKey].filter(
     file => file !== undefined,
--- a/src/control/call_handlers.ts
+++ b/src/control/call_handlers.ts
@@ -3,10 +3,10 @@
 import {Clock} from '../common/clock';
 import {computeKeyId} from '../protocol/compute_key_id';
 import {ControlMessage} from '../protocol/control_message';
-import {describeDrainOrder} from '../protocol/describe_drain_order';
-import {describeLiftOrder} from '../protocol/describe_lift_order';
+import {encodeDrainOrder} from '../protocol/encode_drain_order';
+import {encodeLiftOrder} from '../protocol/encode_lift_order';
 import {FleetStatus} from '../protocol/fleet_status';
-import {Group} from '../protocol/group';
+import {ReplicaGroup} from '../protocol/replica_group';
 import {HostReport} from '../protocol/host_report';
 import {MessageOf} from '../protocol/message_of';
 import {openSignedBundle} from '../protocol/open_signed_bundle';
@@ -151,7 +151,7 @@
 function findAssignment(
   runtime: RaftRuntime,
   report: HostReport,
-): Group | null {
+): ReplicaGroup | null {
   const group = runtime.state.groups.findByHost(report.hostId);
   const member = group?.members.find(known => known.hostId === report.hostId);
   return group && member?.incarnation === report.incarnation ? group : null;
@@ -159,9 +159,9 @@
 
 /** Undefined when the host was told the same before. */
 function findNews(
-  group: Group | null,
+  group: ReplicaGroup | null,
   {told}: HostReport,
-): Group | null | undefined {
+): ReplicaGroup | null | undefined {
   const isSame =
     group?.fencing === told?.fencing && group?.isDraining === told?.isDraining;
   return isSame ? undefined : group;
@@ -199,7 +199,7 @@
 ): Promise<ControlMessage> {
   const {call, hostId, isDraining, keyId} = ask;
   try {
-    const text = describeDrainOrder(hostId, isDraining, ask.time);
+    const text = encodeDrainOrder(hostId, isDraining, ask.time);
     checkOrder(ask, text, context.trustedKeys);
   } catch (error) {
     return {
@@ -232,7 +232,7 @@
   const {call, name, keyId} = ask;
   const answer = {type: 'lift-answer' as const, call};
   try {
-    checkOrder(ask, describeLiftOrder(name, ask.time), context.trustedKeys);
+    checkOrder(ask, encodeLiftOrder(name, ask.time), context.trustedKeys);
   } catch (error) {
     return {...answer, isAccepted: false, reason: (error as Error).message};
   }
--- a/src/control/control_links.ts
+++ b/src/control/control_links.ts
@@ -4,7 +4,7 @@
 import {Message} from '../protocol/message';
 import {Peer} from '../protocol/peer';
 import {splitIdentity} from '../protocol/split_identity';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 
 const RECONNECT_MS = 100;
 /** Between two questions that only show that a connection still carries bytes. */
@@ -18,7 +18,7 @@
   /** Address of each other control process by name. */
   readonly addresses: ReadonlyMap<string, string>;
   readonly clock: Clock;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   /** A message on an opened connection. */
   readonly onMessage: (
     from: string,
--- a/src/control/control_settings.ts
+++ b/src/control/control_settings.ts
@@ -1,6 +1,6 @@
 import {KeyObject} from 'node:crypto';
-import {EngineOrders} from '../protocol/engine_orders';
-import {TransportSecurity} from '../transport/transport_security';
+import {EngineClient} from '../protocol/engine_client';
+import {TlsCredentials} from '../transport/tls_credentials';
 
 /** A quorum that grows from a few first members; processes are named by their address. */
 interface SeededQuorum {
@@ -21,7 +21,7 @@
   /** How long a group that lost a member stalls before its head reports it broken, in milliseconds. */
   readonly stallMs: number;
   /** Absent where nobody gives orders to engines. */
-  readonly orders?: EngineOrders;
+  readonly orders?: EngineClient;
 }
 
 /** Everything that a control process is told when it starts. */
@@ -44,7 +44,7 @@
   /** Channels over which bundles are accepted unsigned; none by default. */
   readonly trustedChannels?: readonly string[];
   readonly pools?: PoolDuties;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   /** Entries behind the snapshot after which a new one is taken. */
   readonly snapshotEvery?: number;
 }
--- a/src/control/create_status.ts
+++ b/src/control/create_status.ts
@@ -1,6 +1,6 @@
 import {HostView} from '../coordination/groups/host_view';
 import {FleetStatus} from '../protocol/fleet_status';
-import {Group} from '../protocol/group';
+import {ReplicaGroup} from '../protocol/replica_group';
 import {Fleet} from './fleet';
 import {RaftRuntime} from './raft_runtime';
 
@@ -57,7 +57,7 @@
 }
 
 function describeGroup(
-  group: Group,
+  group: ReplicaGroup,
   hosts: readonly HostView[],
 ): FleetStatus['groups'][number] {
   const first = hosts.find(
--- a/src/control/engine_planner_loop.ts
+++ b/src/control/engine_planner_loop.ts
@@ -10,7 +10,7 @@
 import {splitHosts} from '../coordination/groups/split_hosts';
 import {ControlCommand} from '../protocol/control_command';
 import {EngineGroup} from '../protocol/engine_group';
-import {listMemberNames} from '../protocol/list_member_names';
+import {listMemberIncarnations} from '../protocol/list_member_incarnations';
 import {GatewayRules} from '../protocol/gateway_rules';
 import {BackendHealth} from './backend_health';
 import {BackendRegistry} from './backend_registry';
@@ -232,7 +232,7 @@
       const id = isSetting ? command.group.name : command.name;
       const details: Record<string, string | number> = isSetting
         ? {
-            members: listMemberNames(command.group).join(' '),
+            members: listMemberIncarnations(command.group).join(' '),
             domain: command.group.domain,
           }
         : {epoch: command.epoch};
--- a/src/control/limit_desk.ts
+++ b/src/control/limit_desk.ts
@@ -6,7 +6,7 @@
 import {PermitIssuer} from '../coordination/limits/permit_issuer';
 import {permitTiming} from '../coordination/limits/permit_timing';
 import {ControlMessage} from '../protocol/control_message';
-import {LimitWord} from '../protocol/limit_word';
+import {RateLimitReport} from '../protocol/rate_limit_report';
 import {MessageOf} from '../protocol/message_of';
 import {BackendRegistry} from './backend_registry';
 import {RaftRuntime} from './raft_runtime';
@@ -66,7 +66,7 @@
   }
 
   /** What a gateway needs that holds the table with this tag. */
-  describeSince(tag: string): LimitWord[] {
+  describeSince(tag: string): RateLimitReport[] {
     const now = this.options.clock.now();
     const era = this.readTag().slice(0, -String(this.count).length);
     const missed = this.count - Number(tag.slice(era.length));
@@ -79,7 +79,7 @@
   }
 
   /** Takes what a gateway heard, or was told by the leader before. */
-  recordWords(gatewayId: string, words: readonly LimitWord[]): void {
+  recordWords(gatewayId: string, words: readonly RateLimitReport[]): void {
     this.follow();
     words.forEach(word => this.recordWord(gatewayId, word));
   }
@@ -102,7 +102,7 @@
     },
   };
 
-  private recordWord(gatewayId: string, word: LimitWord): void {
+  private recordWord(gatewayId: string, word: RateLimitReport): void {
     const {clock, announce} = this.options;
     const {incarnation, perSecond, msAgo} = word;
     const at = clock.now() - msAgo;
--- a/src/control/order_dispatcher.ts
+++ b/src/control/order_dispatcher.ts
@@ -2,9 +2,9 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {EngineAction} from '../coordination/groups/engine_action';
-import {EngineOrders} from '../protocol/engine_orders';
+import {EngineClient} from '../protocol/engine_client';
 import {EngineProfile} from '../protocol/engine_profile';
-import {listMemberNames} from '../protocol/list_member_names';
+import {listMemberIncarnations} from '../protocol/list_member_incarnations';
 import {BackendRegistry} from './backend_registry';
 import {ControlSettings} from './control_settings';
 import {GatewayDesk} from './gateway_desk';
@@ -32,7 +32,7 @@
 /** Before the first request many hosts load at once, each the slower for it. */
 const EARLY_LOAD_FACTOR = 3;
 
-type Answer = Awaited<ReturnType<EngineOrders['send']>>;
+type Answer = Awaited<ReturnType<EngineClient['send']>>;
 type Outcome = Answer['outcome'];
 type Order = Extract<EngineAction, {type: 'order'}>;
 
@@ -231,7 +231,8 @@
         kind,
         group: group && {name: group.name, epoch: group.epoch},
         model: kind === 'join' || kind === 'stage' ? model : undefined,
-        members: kind === 'join' && group ? listMemberNames(group) : undefined,
+        members:
+          kind === 'join' && group ? listMemberIncarnations(group) : undefined,
       },
     });
     const outcome = answer?.outcome ?? 'unanswered';
--- a/src/coordination/groups/group_action.ts
+++ b/src/coordination/groups/group_action.ts
@@ -1,8 +1,12 @@
-import {Group} from '../../protocol/group';
+import {ReplicaGroup} from '../../protocol/replica_group';
 
 /** A change of groups that the planner wants committed. */
 export type GroupAction =
-  | {readonly type: 'set-group'; readonly group: Group; readonly reason: string}
+  | {
+      readonly type: 'set-group';
+      readonly group: ReplicaGroup;
+      readonly reason: string;
+    }
   | {
       readonly type: 'drain-group' | 'remove-group';
       readonly groupId: string;
--- a/src/coordination/groups/replica_demand.ts
+++ b/src/coordination/groups/replica_demand.ts
@@ -1,8 +1,8 @@
-import {Group} from '../../protocol/group';
+import {ReplicaGroup} from '../../protocol/replica_group';
 
 /** One kind of replica that the bundle asks for. */
 export interface ReplicaDemand {
-  readonly kind: Group['kind'];
+  readonly kind: ReplicaGroup['kind'];
   readonly name: string;
   readonly replicas: number;
   readonly hostsPerReplica: number;
--- a/src/coordination/limits/named_limits.ts
+++ b/src/coordination/limits/named_limits.ts
@@ -2,7 +2,7 @@
  * What is known of the limits that backend servers name, from whatever source and
  * in whatever order the words come.
  */
-import {LimitWord} from '../../protocol/limit_word';
+import {RateLimitReport} from '../../protocol/rate_limit_report';
 
 /** An end is remembered this long, so that an older word does not bring its limit back. */
 const END_KEPT_MS = 10_000;
@@ -75,7 +75,7 @@
   }
 
   /** What another process should know of these, as far as anything is known. */
-  describe(incarnations: readonly string[], now: number): LimitWord[] {
+  describe(incarnations: readonly string[], now: number): RateLimitReport[] {
     return incarnations.flatMap(incarnation => {
       const known = this.limits.get(incarnation);
       const at = known?.namedAt ?? this.endedAt.get(incarnation);
--- a/src/coordination/requests/check_dispatch.ts
+++ b/src/coordination/requests/check_dispatch.ts
@@ -1,14 +1,14 @@
 /** Decides whether a host process may start what an entry sent. */
-import {Group} from '../../protocol/group';
+import {ReplicaGroup} from '../../protocol/replica_group';
 import {MessageOf} from '../../protocol/message_of';
-import {WorkMessage} from '../../protocol/work_message';
+import {RequestMessage} from '../../protocol/request_message';
 
 /** What the host process knows when a dispatch arrives. */
 interface DispatchSituation {
   readonly hostId: string;
   readonly incarnation: string;
   /** The group that this host belongs to. */
-  readonly group: Group | undefined;
+  readonly group: ReplicaGroup | undefined;
   /** Members without a fresh heartbeat. */
   readonly missing: readonly string[];
   /** Control confirmed the bundle lately enough. */
@@ -19,7 +19,7 @@
   readonly now: number;
 }
 
-type Dispatch = MessageOf<WorkMessage, 'dispatch'>;
+type Dispatch = MessageOf<RequestMessage, 'dispatch'>;
 type Check = (
   situation: DispatchSituation,
   dispatch: Dispatch,
--- a/src/coordination/requests/decide_retry.ts
+++ b/src/coordination/requests/decide_retry.ts
@@ -1,9 +1,9 @@
 /** Decides what follows an attempt that did not answer. */
-import {Outcome} from '../../protocol/outcome';
+import {RequestOutcome} from '../../protocol/request_outcome';
 
 /** What is known after an attempt. */
 interface RetrySituation {
-  readonly outcome: Outcome;
+  readonly outcome: RequestOutcome;
   readonly isRepeatable: boolean;
   /** Part of an answer has reached the caller. */
   readonly hasDelivered: boolean;
--- a/src/coordination/requests/dispatch_ledger.ts
+++ b/src/coordination/requests/dispatch_ledger.ts
@@ -1,5 +1,5 @@
 /** What a host process remembers of the attempts it was sent. */
-import {Outcome} from '../../protocol/outcome';
+import {RequestOutcome} from '../../protocol/request_outcome';
 
 /** Far longer than any start-by time, so that no late frame outlives its tombstone. */
 const KEEP_MS = 10 * 60_000;
@@ -8,7 +8,7 @@
 type Fate =
   | {readonly status: 'never-started'}
   | {readonly status: 'running'}
-  | {readonly status: 'ended'; readonly outcome: Outcome};
+  | {readonly status: 'ended'; readonly outcome: RequestOutcome};
 
 interface Entry {
   fate: Fate;
@@ -47,7 +47,7 @@
   }
 
   /** Records how a started attempt ended. */
-  end(attemptId: string, outcome: Outcome): void {
+  end(attemptId: string, outcome: RequestOutcome): void {
     const entry = this.entries.get(attemptId);
     if (entry?.fate.status === 'running') {
       entry.fate = {status: 'ended', outcome};
--- a/src/entry/attempt_events.ts
+++ b/src/entry/attempt_events.ts
@@ -1,4 +1,4 @@
-import {Outcome} from '../protocol/outcome';
+import {RequestOutcome} from '../protocol/request_outcome';
 
 /** What becomes of one attempt, told step by step to whoever started it. */
 export interface AttemptEvents {
@@ -14,7 +14,7 @@
 
 /** How an attempt ended for the entry. */
 interface AttemptEnd {
-  readonly outcome: Outcome;
+  readonly outcome: RequestOutcome;
   readonly reason: string;
   readonly retryAfterMs?: number;
   /** The connection went away, so the host process may know more. */
--- a/src/entry/caller_response.ts
+++ b/src/entry/caller_response.ts
@@ -1,6 +1,6 @@
 /** Writes one answer to one caller: whole, or as a stream with an explicit end. */
 import {ServerResponse} from 'node:http';
-import {Outcome} from '../protocol/outcome';
+import {RequestOutcome} from '../protocol/request_outcome';
 import {Problem} from './problem';
 import {sendProblem} from './send_problem';
 
@@ -180,7 +180,7 @@
     held?.forEach(bytes => this.response.write(bytes));
   }
 
-  private addTrailer(outcome: Outcome): void {
+  private addTrailer(outcome: RequestOutcome): void {
     if (this.isEvents) {
       this.response.addTrailers({[OUTCOME_HEADER]: outcome});
     }
--- a/src/entry/entry_settings.ts
+++ b/src/entry/entry_settings.ts
@@ -1,4 +1,4 @@
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 
 /** Everything that an entry process is told when it starts. */
 export interface EntrySettings {
@@ -10,5 +10,5 @@
   readonly control: readonly string[];
   /** From the signal to stop to the end by force, in milliseconds. */
   readonly stopWithinMs: number;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
 }
--- a/src/entry/host_link.ts
+++ b/src/entry/host_link.ts
@@ -4,16 +4,16 @@
 import {Message} from '../protocol/message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
-import {WorkMessage} from '../protocol/work_message';
-import {TransportSecurity} from '../transport/transport_security';
+import {RequestMessage} from '../protocol/request_message';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {AttemptEvents} from './attempt_events';
 
 const TOMBSTONE_TIMEOUT_MS = 1_500;
 const CREDIT_BYTES = 256 * 1024;
 
-type TombstoneAnswer = MessageOf<WorkMessage, 'tombstone-answer'>;
+type TombstoneAnswer = MessageOf<RequestMessage, 'tombstone-answer'>;
 type DispatchFields = Omit<
-  MessageOf<WorkMessage, 'dispatch'>,
+  MessageOf<RequestMessage, 'dispatch'>,
   'type' | 'stream' | 'startBy' | 'credit' | 'incarnation'
 >;
 
@@ -23,7 +23,9 @@
 }
 
 type Handlers = {
-  [T in WorkMessage['type']]?: (message: MessageOf<WorkMessage, T>) => void;
+  [T in RequestMessage['type']]?: (
+    message: MessageOf<RequestMessage, T>,
+  ) => void;
 };
 
 /** What a link needs. */
@@ -31,7 +33,7 @@
   readonly address: string;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   readonly onClosed: () => void;
 }
 
@@ -161,14 +163,14 @@
   };
 
   private receive(message: Message): void {
-    this.handlers[message.type as WorkMessage['type']]?.(message as never);
+    this.handlers[message.type as RequestMessage['type']]?.(message as never);
   }
 
   private receiveData({
     stream,
     sequence,
     bytes,
-  }: MessageOf<WorkMessage, 'data'>): void {
+  }: MessageOf<RequestMessage, 'data'>): void {
     const attempt = this.attempts.get(stream);
     if (!attempt) {
       return;
@@ -185,7 +187,7 @@
     });
   }
 
-  private receiveEnd(message: MessageOf<WorkMessage, 'end'>): void {
+  private receiveEnd(message: MessageOf<RequestMessage, 'end'>): void {
     const {stream, frames, outcome, reason} = message;
     const attempt = this.attempts.get(stream);
     const isShort = attempt !== undefined && attempt.nextSequence !== frames;
--- a/src/entry/host_links.ts
+++ b/src/entry/host_links.ts
@@ -1,7 +1,7 @@
 /** Keeps a link to the first member of every group in the routing table. */
 import {Clock} from '../common/clock';
 import {Peer} from '../protocol/peer';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {HostLink} from './host_link';
 
 const RECONNECT_MS = 200;
@@ -10,7 +10,7 @@
 interface HostLinksOptions {
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
 }
 
 /** Links by address. */
--- a/src/entry/once_only.ts
+++ b/src/entry/once_only.ts
@@ -2,8 +2,8 @@
 import {ClaimVerdict} from '../protocol/claim_verdict';
 import {ControlClient} from '../protocol/control_client';
 import {computeDigest} from '../protocol/compute_digest';
-import {Group} from '../protocol/group';
-import {Outcome} from '../protocol/outcome';
+import {ReplicaGroup} from '../protocol/replica_group';
+import {RequestOutcome} from '../protocol/request_outcome';
 import {CallerRequest} from './caller_request';
 import {HostLinks} from './host_links';
 import {Problem} from './problem';
@@ -21,7 +21,7 @@
 /** Which attempt a claim is for, and where it would run. */
 interface ClaimTarget {
   readonly attemptId: string;
-  readonly group: Group;
+  readonly group: ReplicaGroup;
   /** Incarnation of the first member's process. */
   readonly incarnation: string;
 }
@@ -65,7 +65,7 @@
   async resolve(
     request: CallerRequest,
     attemptId: string,
-    outcome: Outcome,
+    outcome: RequestOutcome,
   ): Promise<void> {
     const {workspace, idempotencyKey: key} = request;
     await this.options.client
--- a/src/entry/request_runner.ts
+++ b/src/entry/request_runner.ts
@@ -3,8 +3,8 @@
 import {chooseReplica} from '../coordination/requests/choose_replica';
 import {decideRetry} from '../coordination/requests/decide_retry';
 import {RetryBudget} from '../coordination/requests/retry_budget';
-import {Group} from '../protocol/group';
-import {Outcome} from '../protocol/outcome';
+import {ReplicaGroup} from '../protocol/replica_group';
+import {RequestOutcome} from '../protocol/request_outcome';
 import {AttemptEvents} from './attempt_events';
 import {CallerRequest} from './caller_request';
 import {CallerResponse} from './caller_response';
@@ -33,14 +33,14 @@
 
 interface Candidate {
   readonly groupId: string;
-  readonly group: Group;
+  readonly group: ReplicaGroup;
   readonly link: HostLink;
   readonly running: number;
 }
 
 /** How a request ended. */
 interface RequestEnd {
-  readonly outcome: Outcome;
+  readonly outcome: RequestOutcome;
   readonly reason: string;
   readonly attempts: number;
 }
@@ -315,13 +315,13 @@
 
 /** One earlier attempt that may have run outweighs later ones that surely did not. */
 function takeWorse(worst: AttemptEnd, end: AttemptEnd): AttemptEnd {
-  const ORDER: readonly Outcome[] = ['not-run', 'failed', 'unknown'];
+  const ORDER: readonly RequestOutcome[] = ['not-run', 'failed', 'unknown'];
   return ORDER.indexOf(end.outcome) >= ORDER.indexOf(worst.outcome)
     ? end
     : worst;
 }
 
-const STATUS_BY_OUTCOME: Record<Outcome, number> = {
+const STATUS_BY_OUTCOME: Record<RequestOutcome, number> = {
   answered: 200,
   'not-run': 503,
   failed: 502,
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,7 +1,7 @@
 /** One dispatch of a request to one backend server, and the meaning of each way it can end. */
 import {Clock} from '../common/clock';
 import {GatewayTarget} from '../protocol/gateway_target';
-import {HttpOrigins} from '../transport/http_origins';
+import {HttpClientPool} from '../transport/http_client_pool';
 import {AnswerHead} from './answer_head';
 import {AttemptEnd} from './attempt_end';
 import {BackendSignals} from './backend_signals';
@@ -21,7 +21,7 @@
   readonly remainingMs: number;
   readonly lastEventId?: string;
   readonly maxConnections: number;
-  readonly origins: HttpOrigins;
+  readonly origins: HttpClientPool;
   readonly board: TargetBoard;
   readonly signals: BackendSignals;
   readonly dialect: CallerDialect;
@@ -37,7 +37,7 @@
 export class Attempt {
   /** When it was sent or bytes last came, whichever is newer. */
   quietSince: number;
-  private handle: ReturnType<HttpOrigins['call']> | undefined;
+  private handle: ReturnType<HttpClientPool['call']> | undefined;
   private head: AnswerHead | undefined;
   private hasBytes = false;
   private isSent = false;
--- a/src/gateway/backend_limits.ts
+++ b/src/gateway/backend_limits.ts
@@ -5,7 +5,7 @@
 import {NamedLimits} from '../coordination/limits/named_limits';
 import {PermitPacing} from '../coordination/limits/permit_pacing';
 import {permitTiming} from '../coordination/limits/permit_timing';
-import {LimitWord} from '../protocol/limit_word';
+import {RateLimitReport} from '../protocol/rate_limit_report';
 import {PermitVerdict} from '../protocol/permit_verdict';
 import {SendPermit} from './send_permit';
 
@@ -21,7 +21,7 @@
   /** Permits run out by it, so it counts the time for which this machine was suspended. */
   readonly leaseClock: Clock;
   readonly events: EventRing;
-  readonly askPermit: (limit: LimitWord) => Promise<PermitVerdict>;
+  readonly askPermit: (limit: RateLimitReport) => Promise<PermitVerdict>;
   /** Control should hear of a limit at once. */
   readonly onNews: () => void;
 }
@@ -132,7 +132,7 @@
   }
 
   /** What control should know: the table that is held here, and what its leader was not told. */
-  describeNews(): {limitsTag: string; limits: LimitWord[]} {
+  describeNews(): {limitsTag: string; limits: RateLimitReport[]} {
     const held = this.limits.list();
     const untold = this.limits
       .describe(held, this.options.clock.now())
@@ -148,9 +148,9 @@
    * @param told what it was asked with
    */
   applyNews(
-    told: readonly LimitWord[],
+    told: readonly RateLimitReport[],
     tag: string,
-    news: readonly LimitWord[],
+    news: readonly RateLimitReport[],
   ): void {
     const now = this.options.clock.now();
     this.tag = tag;
@@ -217,7 +217,7 @@
 /** A leader's name is all of its tag but the count of changes. */
 function formatTold(
   tag: string,
-  {perSecond}: Pick<LimitWord, 'perSecond'>,
+  {perSecond}: Pick<RateLimitReport, 'perSecond'>,
 ): string {
   return `${tag.slice(0, tag.lastIndexOf('/'))} ${perSecond}`;
 }
--- a/src/gateway/break_witness.ts
+++ b/src/gateway/break_witness.ts
@@ -2,7 +2,7 @@
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {parseAddress} from '../protocol/parse_address';
-import {probeListening} from '../transport/probe_listening';
+import {probePort} from '../transport/probe_port';
 import {BrokenRun} from './broken_run';
 
 /** A refusal comes within a round trip; silence says nothing, however long. */
@@ -37,7 +37,7 @@
 interface BreakWitnessOptions {
   readonly clock: Clock;
   readonly events: EventRing;
-  readonly probe?: typeof probeListening;
+  readonly probe?: typeof probePort;
 }
 
 /** Asks once for each break, however many requests it hit. */
@@ -75,7 +75,7 @@
   }
 
   private async probe({target}: BrokenRun): Promise<Fate> {
-    const {probe = probeListening} = this.options;
+    const {probe = probePort} = this.options;
     return FATES[await probe(parseAddress(target.address), PROBE_MS)];
   }
 
--- a/src/gateway/containment.ts
+++ b/src/gateway/containment.ts
@@ -1,6 +1,6 @@
 /** What this gateway knows and does about requests under which backend servers end. */
 import {CrashReport} from '../protocol/crash_report';
-import {SuspectNews} from '../protocol/suspect_news';
+import {SuspectUpdate} from '../protocol/suspect_update';
 import {TrialVerdict} from '../protocol/trial_verdict';
 import {BreakWitness} from './break_witness';
 import {BrokenRun} from './broken_run';
@@ -54,7 +54,7 @@
   }
 
   /** Takes what control tells. */
-  apply(news: SuspectNews): void {
+  apply(news: SuspectUpdate): void {
     this.list.apply(news);
   }
 
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -10,7 +10,7 @@
 import {ControlClient} from '../protocol/control_client';
 import {recordSearch} from '../reporting/record_search';
 import {HttpListener} from '../transport/http_listener';
-import {HttpOrigins} from '../transport/http_origins';
+import {HttpClientPool} from '../transport/http_client_pool';
 import {readHttpBody} from '../transport/read_http_body';
 import {BackendSignals} from './backend_signals';
 import {BreakWitness} from './break_witness';
@@ -49,7 +49,7 @@
   /** What happened here, newest in memory. */
   readonly events = EventRing.create();
   private readonly clock = systemClock;
-  private readonly origins = HttpOrigins.create();
+  private readonly origins = HttpClientPool.create();
   private readonly board: TargetBoard;
   private readonly feed: RulesFeed;
   private readonly log: GatewayLog;
@@ -92,7 +92,7 @@
     const lines = ThrottledLines.create(events, clock);
     const client = ControlClient.create({
       addresses: () => this.controlAddresses,
-      tryTimeoutMs: CONTROL_TRY_MS,
+      hedgeDelayMs: CONTROL_TRY_MS,
       identity: {program: 'gateway', id: gatewayId, incarnation},
       onSearched: search => recordSearch(lines, gatewayId, search),
     });
--- a/src/gateway/request_flow_options.ts
+++ b/src/gateway/request_flow_options.ts
@@ -1,7 +1,7 @@
 /** What carrying one request through takes. */
 import {Clock} from '../common/clock';
 import {GatewayRules} from '../protocol/gateway_rules';
-import {HttpOrigins} from '../transport/http_origins';
+import {HttpClientPool} from '../transport/http_client_pool';
 import {BackendSignals} from './backend_signals';
 import {CallerAnswer} from './caller_answer';
 import {CallerDialect} from './caller_dialect';
@@ -26,7 +26,7 @@
   /** On this process's monotonic clock. */
   readonly arrivedAt: number;
   readonly answer: CallerAnswer;
-  readonly origins: HttpOrigins;
+  readonly origins: HttpClientPool;
   readonly board: TargetBoard;
   readonly budget: RepeatBudget;
   readonly forecast: PlaceForecast;
--- a/src/gateway/rules_feed.ts
+++ b/src/gateway/rules_feed.ts
@@ -6,7 +6,7 @@
 import {GatewayTarget} from '../protocol/gateway_target';
 import {MessageOf} from '../protocol/message_of';
 import {ModelDemand} from '../protocol/model_demand';
-import {SuspectNews} from '../protocol/suspect_news';
+import {SuspectUpdate} from '../protocol/suspect_update';
 import {rulesCodec} from '../protocol/rules_codec';
 import {BackendLimits} from './backend_limits';
 import {RouteIndex} from './route_index';
@@ -49,7 +49,7 @@
   ) => void;
   /** The newest list of suspected requests that is held here. */
   readonly readSuspectsVersion: () => number;
-  readonly onSuspects: (news: SuspectNews) => void;
+  readonly onSuspects: (news: SuspectUpdate) => void;
   /** Limits of backend servers, which gateways tell each other through control. */
   readonly limits: Pick<BackendLimits, 'describeNews' | 'applyNews'>;
   readonly onTargets: (targets: ReadonlyMap<string, GatewayTarget>) => void;
--- a/src/gateway/suspect_list.ts
+++ b/src/gateway/suspect_list.ts
@@ -1,5 +1,5 @@
 /** Which requests this gateway must hold back: what control tells, and what it saw itself and control may not know yet. */
-import {SuspectNews} from '../protocol/suspect_news';
+import {SuspectUpdate} from '../protocol/suspect_update';
 import {RequestIdentity} from './request_identity';
 
 /** Own observations that control has not judged; it judges within a round trip, or is away. */
@@ -44,7 +44,7 @@
   }
 
   /** Takes what control tells; a list that is older than what is held changes nothing. */
-  apply(news: SuspectNews): void {
+  apply(news: SuspectUpdate): void {
     if (news.version < this.toldVersion) {
       return;
     }
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -3,12 +3,12 @@
 import {GroupLease} from '../coordination/groups/group_lease';
 import {HEARTBEAT_LEASE_MS} from '../coordination/groups/heartbeat_lease_ms';
 import {Membership} from '../coordination/groups/membership';
-import {Group} from '../protocol/group';
+import {ReplicaGroup} from '../protocol/replica_group';
 import {HostReport} from '../protocol/host_report';
 import {MembershipMessage} from '../protocol/membership_message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {EngineOrders} from './engine_orders';
 import {HeartbeatAsker} from './heartbeat_asker';
 
@@ -21,7 +21,7 @@
   /** For what others have promised this host: it never counts too short. */
   readonly leaseClock: Clock;
   readonly orders: EngineOrders;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
 }
 
 type GroupReport = Pick<
@@ -56,7 +56,7 @@
   }
 
   /** The group that control last named. */
-  get group(): Group | null {
+  get group(): ReplicaGroup | null {
     return this.membership.group;
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Takes over what control says; true when the group or its epoch changed. */
-  assign(group: Group | null): boolean {
+  assign(group: ReplicaGroup | null): boolean {
     if (!this.membership.assign(group)) {
       return false;
     }
@@ -164,7 +164,7 @@
     return now - this.wokeAt < HEARTBEAT_LEASE_MS;
   }
 
-  private startLease(group: Group): void {
+  private startLease(group: ReplicaGroup): void {
     const {hostId, identity, leaseClock, security} = this.options;
     this.lease = GroupLease.create(group, hostId, leaseClock.now());
     this.asker = HeartbeatAsker.create({
--- a/src/host/heartbeat_asker.ts
+++ b/src/host/heartbeat_asker.ts
@@ -2,21 +2,21 @@
 import {Clock} from '../common/clock';
 import {GroupLease} from '../coordination/groups/group_lease';
 import {connectPeer} from '../protocol/connect_peer';
-import {Group} from '../protocol/group';
+import {ReplicaGroup} from '../protocol/replica_group';
 import {MembershipMessage} from '../protocol/membership_message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 
 const ASK_EVERY_MS = 150;
 
 /** What the asker works on. */
 interface HeartbeatAskerOptions {
-  readonly group: Group;
+  readonly group: ReplicaGroup;
   readonly lease: GroupLease;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
 }
 
 /** Keeps a lease fresh while every member answers. */
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -9,14 +9,14 @@
 import {Bundle} from '../protocol/bundle';
 import {ControlClient} from '../protocol/control_client';
 import {ControlMessage} from '../protocol/control_message';
-import {Group} from '../protocol/group';
+import {ReplicaGroup} from '../protocol/replica_group';
 import {HostReport} from '../protocol/host_report';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
-import {WorkMessage} from '../protocol/work_message';
+import {RequestMessage} from '../protocol/request_message';
 import {FrameConnection} from '../transport/frame_connection';
 import {FrameServer} from '../transport/frame_server';
-import {HttpBackend} from '../transport/http_backend';
+import {BackendHttpClient} from '../transport/backend_http_client';
 import {HttpListener} from '../transport/http_listener';
 import {listenForAnnouncements} from './announce_listener';
 import {BackendSlot} from './backend_slot';
@@ -44,7 +44,7 @@
     onPause: pause =>
       recordPause(this.events, 'host', this.settings.hostId, pause),
   });
-  private readonly backend = HttpBackend.create();
+  private readonly backend = BackendHttpClient.create();
   private readonly slot = BackendSlot.create(this.clock);
   private readonly orders: EngineOrders;
   private readonly member: GroupMember;
@@ -222,7 +222,7 @@
     }
   }
 
-  private assignGroup(group: Group | null): void {
+  private assignGroup(group: ReplicaGroup | null): void {
     if (!this.member.assign(group)) {
       return;
     }
@@ -240,7 +240,7 @@
   }
 
   private refuse(
-    dispatch: MessageOf<WorkMessage, 'dispatch'>,
+    dispatch: MessageOf<RequestMessage, 'dispatch'>,
     now: number,
   ): string | undefined {
     const {member} = this;
--- a/src/host/host_settings.ts
+++ b/src/host/host_settings.ts
@@ -1,4 +1,4 @@
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 
 /** Everything that a host process is told when it starts. */
 export interface HostSettings {
@@ -17,5 +17,5 @@
   readonly control: readonly string[];
   /** From the signal to stop to the end by force, in milliseconds. */
   readonly stopWithinMs: number;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
 }
--- a/src/host/running_attempt.ts
+++ b/src/host/running_attempt.ts
@@ -1,9 +1,9 @@
 /** One attempt that runs on the backend server, with its answer on the way back. */
 import {MessageOf} from '../protocol/message_of';
-import {Outcome} from '../protocol/outcome';
+import {RequestOutcome} from '../protocol/request_outcome';
 import {SseSplitter} from '../protocol/sse_splitter';
-import {WorkMessage} from '../protocol/work_message';
-import {HttpBackend} from '../transport/http_backend';
+import {RequestMessage} from '../protocol/request_message';
+import {BackendHttpClient} from '../transport/backend_http_client';
 import {TransportError} from '../transport/transport_error';
 
 const MAX_PIECE_BYTES = 64 * 1024;
@@ -13,18 +13,18 @@
 
 /** How an attempt ended. */
 interface AttemptEnd {
-  readonly outcome: Outcome;
+  readonly outcome: RequestOutcome;
   readonly reason: string;
 }
 
 /** What an attempt needs. */
 interface RunningAttemptOptions {
-  readonly dispatch: MessageOf<WorkMessage, 'dispatch'>;
-  readonly backend: HttpBackend;
+  readonly dispatch: MessageOf<RequestMessage, 'dispatch'>;
+  readonly backend: BackendHttpClient;
   readonly backendUrl: string;
   /** The fencing number that the backend server is told. */
   readonly epoch: number;
-  readonly send: (message: WorkMessage) => void;
+  readonly send: (message: RequestMessage) => void;
   /** Called before anything is passed on; a text stops the attempt. */
   readonly checkRight: () => string | undefined;
 }
--- a/src/host/work_runner.ts
+++ b/src/host/work_runner.ts
@@ -5,21 +5,21 @@
 import {Message} from '../protocol/message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
-import {WorkMessage} from '../protocol/work_message';
-import {HttpBackend} from '../transport/http_backend';
+import {RequestMessage} from '../protocol/request_message';
+import {BackendHttpClient} from '../transport/backend_http_client';
 import {RunningAttempt} from './running_attempt';
 
 const REPORT_CLOCK_MS = 1_000;
 const REFUSAL_RETRY_MS = 250;
 
-type Dispatch = MessageOf<WorkMessage, 'dispatch'>;
+type Dispatch = MessageOf<RequestMessage, 'dispatch'>;
 
 /** What the runner needs from its host process. */
 interface WorkRunnerOptions {
   readonly incarnation: string;
   readonly clock: Clock;
   readonly events: EventRing;
-  readonly backend: HttpBackend;
+  readonly backend: BackendHttpClient;
   readonly findBackendUrl: () => string | undefined;
   /** Why a dispatch must not start now, if so. */
   readonly refuse: (dispatch: Dispatch, now: number) => string | undefined;
@@ -34,9 +34,9 @@
 }
 
 type Handlers = {
-  [T in WorkMessage['type']]?: (
+  [T in RequestMessage['type']]?: (
     connection: EntryConnection,
-    message: MessageOf<WorkMessage, T>,
+    message: MessageOf<RequestMessage, T>,
   ) => void;
 };
 
@@ -108,7 +108,7 @@
   }
 
   private receive(connection: EntryConnection, message: Message): void {
-    const handler = this.handlers[message.type as WorkMessage['type']];
+    const handler = this.handlers[message.type as RequestMessage['type']];
     handler?.(connection, message as never);
   }
 
--- a/src/operator/add_bundle_commands.ts
+++ b/src/operator/add_bundle_commands.ts
@@ -2,7 +2,7 @@
 import {writeFileSync} from 'node:fs';
 import {Bundle} from '../protocol/bundle';
 import {computeDigest} from '../protocol/compute_digest';
-import {encodeCanonical} from '../protocol/encode_canonical';
+import {encodeCanonicalJson} from '../protocol/encode_canonical_json';
 import {signBundle} from '../protocol/sign_bundle';
 import {compareBundles} from './compare_bundles';
 import {OperatorClient} from './operator_client';
@@ -30,7 +30,7 @@
     .addHelpText('after', '\nExample:\n  whinreel bundle check bundle.yaml')
     .action((file: string) => {
       const checked = readBundleFile(file);
-      const digest = computeDigest(encodeCanonical(checked));
+      const digest = computeDigest(encodeCanonicalJson(checked));
       createReporter().report({
         type: 'bundle-checked',
         bundle: checked,
--- a/src/operator/operator_client.ts
+++ b/src/operator/operator_client.ts
@@ -3,13 +3,13 @@
 import {z} from 'zod';
 import {computeKeyId} from '../protocol/compute_key_id';
 import {ControlClient} from '../protocol/control_client';
-import {describeDrainOrder} from '../protocol/describe_drain_order';
-import {describeLiftOrder} from '../protocol/describe_lift_order';
+import {encodeDrainOrder} from '../protocol/encode_drain_order';
+import {encodeLiftOrder} from '../protocol/encode_lift_order';
 import {FleetStatus} from '../protocol/fleet_status';
 import {SignedBundle} from '../protocol/signed_bundle';
 import {JournalEntry} from '../state/journal_entry';
 import {Suspect} from '../state/suspect';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {OperatorError} from './operator_error';
 
 const ListedSuspect = Suspect.extend({name: z.string()});
@@ -17,7 +17,7 @@
 /** How to reach control. */
 interface OperatorClientOptions {
   readonly addresses: readonly string[];
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   /** Milliseconds for each call. */
   readonly timeoutMs: number;
 }
@@ -81,7 +81,7 @@
   /** @throws OperatorError when no leader answers */
   async drain(hostId: string, isDraining: boolean, key: KeyObject) {
     const time = Date.now();
-    const text = describeDrainOrder(hostId, isDraining, time);
+    const text = encodeDrainOrder(hostId, isDraining, time);
     const signature = sign(null, Buffer.from(text), key).toString('base64');
     const keyId = computeKeyId(key);
     const order = {
@@ -105,7 +105,7 @@
   /** @throws OperatorError when no leader answers */
   async revokeVerdict(name: string, key: KeyObject) {
     const time = Date.now();
-    const text = describeLiftOrder(name, time);
+    const text = encodeLiftOrder(name, time);
     const signature = sign(null, Buffer.from(text), key).toString('base64');
     const keyId = computeKeyId(key);
     const order = {type: 'lift-ask' as const, name, time, keyId, signature};
--- a/src/protocol/claim_verdict.ts
+++ b/src/protocol/claim_verdict.ts
@@ -1,5 +1,5 @@
 import {z} from 'zod';
-import {Outcome} from './outcome';
+import {RequestOutcome} from './request_outcome';
 
 /** The answer to a claim of a once-only request. */
 export const ClaimVerdict = z.discriminatedUnion('status', [
@@ -14,7 +14,7 @@
   z.object({
     status: z.literal('ended'),
     attemptId: z.string(),
-    outcome: Outcome,
+    outcome: RequestOutcome,
   }),
   z.object({status: z.literal('key-reused')}),
 ]);
--- a/src/protocol/connect_peer.ts
+++ b/src/protocol/connect_peer.ts
@@ -1,5 +1,5 @@
 import {FrameConnection} from '../transport/frame_connection';
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {parseAddress} from './parse_address';
 import {Peer} from './peer';
 
@@ -15,7 +15,7 @@
 export async function connectPeer(
   address: string,
   identity: Parameters<typeof Peer.create>[1],
-  security?: TransportSecurity,
+  security?: TlsCredentials,
   timeoutMs?: number,
 ): Promise<Peer> {
   const startedAt = performance.now();
--- a/src/protocol/control_calls.ts
+++ b/src/protocol/control_calls.ts
@@ -29,6 +29,6 @@
 /** The calls that control answers: their types, questions and answers. */
 export interface ControlCalls {
   readonly type: keyof Answers;
-  readonly question: WithoutCall<MessageOf<ControlMessage, keyof Answers>>;
+  readonly request: WithoutCall<MessageOf<ControlMessage, keyof Answers>>;
   readonly answers: Answers;
 }
--- a/src/protocol/control_client.ts
+++ b/src/protocol/control_client.ts
@@ -1,7 +1,7 @@
 /** Finds the control leader and asks it. */
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {ControlCalls} from './control_calls';
-import {ControlLines} from './control_lines';
+import {ControlConnectionPool} from './control_connection_pool';
 import {ControlMessage} from './control_message';
 import {LeaderCall} from './leader_call';
 import {LeaderFinder} from './leader_finder';
@@ -26,9 +26,9 @@
   /** Where control processes are; a function where they may change. */
   readonly addresses: readonly string[] | (() => readonly string[]);
   /** How long the leader may take to answer before it is searched for anew beside it, in milliseconds. */
-  readonly tryTimeoutMs?: number;
+  readonly hedgeDelayMs?: number;
   readonly identity: Parameters<typeof Peer.create>[1];
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   /** Told of each call that had to search, or found no leader. */
   readonly onSearched?: (search: SearchReport) => void;
 }
@@ -38,7 +38,7 @@
  * named by their addresses, one that does not lead tells where the others are.
  */
 export class ControlClient {
-  private readonly lines: ControlLines;
+  private readonly lines: ControlConnectionPool;
   private readonly finder: LeaderFinder;
   private readonly calls = new Set<LeaderCall>();
   /** Addresses told by processes that do not lead. */
@@ -47,11 +47,11 @@
 
   private constructor(private readonly options: ControlClientOptions) {
     const {identity, security} = options;
-    this.lines = ControlLines.create({identity, security});
+    this.lines = ControlConnectionPool.create({identity, security});
     this.finder = LeaderFinder.create({
-      lines: this.lines,
+      connections: this.lines,
       listAddresses: () => this.listAddresses(),
-      onTold: hints => this.recordHints(hints),
+      onRedirect: hints => this.recordHints(hints),
     });
   }
 
@@ -74,7 +74,7 @@
    * @throws ProtocolError when no leader answered in time
    */
   async ask<T extends ControlCalls['type']>(
-    question: ControlCalls['question'] & {type: T},
+    question: ControlCalls['request'] & {type: T},
     timeoutMs = DEFAULT_TIMEOUT_MS,
   ): Promise<MessageOf<ControlMessage, Answers[T]>> {
     if (this.isClosed) {
@@ -83,12 +83,12 @@
     const startedAt = performance.now();
     const hadLeader = this.lines.leader !== undefined;
     const call = LeaderCall.create({
-      question,
-      lines: this.lines,
+      request: question,
+      connections: this.lines,
       finder: this.finder,
       timeoutMs,
-      besideMs: this.options.tryTimeoutMs ?? DEFAULT_TIMEOUT_MS,
-      onTold: hints => this.recordHints(hints),
+      hedgeDelayMs: this.options.hedgeDelayMs ?? DEFAULT_TIMEOUT_MS,
+      onRedirect: hints => this.recordHints(hints),
     });
     this.calls.add(call);
     let isAnswered = false;
--- a/src/protocol/control_command.ts
+++ b/src/protocol/control_command.ts
@@ -3,8 +3,8 @@
 import {ChannelBundle} from './channel_bundle';
 import {CrashReport} from './crash_report';
 import {EngineGroup} from './engine_group';
-import {Group} from './group';
-import {Outcome} from './outcome';
+import {ReplicaGroup} from './replica_group';
+import {RequestOutcome} from './request_outcome';
 import {SignedBundle} from './signed_bundle';
 
 /** Wall-clock milliseconds at the leader that proposed it. */
@@ -73,7 +73,7 @@
   z.object({
     type: z.literal('set-group'),
     time: Time,
-    group: Group,
+    group: ReplicaGroup,
     reason: z.string(),
   }),
   z.object({
@@ -140,7 +140,7 @@
   Claim.extend({
     type: z.literal('resolve-claim'),
     time: Time,
-    outcome: Outcome,
+    outcome: RequestOutcome,
   }),
 ]);
 export type ControlCommand = z.infer<typeof ControlCommand>;
--- a/src/protocol/control_line.ts
+++ b/src/protocol/control_connection.ts
@@ -1,5 +1,5 @@
 /** A connection to one control process, and the calls that wait for its answers. */
-import {TransportSecurity} from '../transport/transport_security';
+import {TlsCredentials} from '../transport/tls_credentials';
 import {connectPeer} from './connect_peer';
 import {ControlCalls} from './control_calls';
 import {ControlMessage} from './control_message';
@@ -10,15 +10,15 @@
 interface ControlLineOptions {
   readonly address: string;
   readonly identity: Parameters<typeof Peer.create>[1];
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
 }
 
 /** Connects at once; calls wait until the other side has greeted. */
-export class ControlLine {
+export class ControlConnection {
   /** Settles when the other side has greeted; rejects when it cannot be reached. */
-  readonly greeted: Promise<unknown>;
+  readonly ready: Promise<unknown>;
   /** Searches that use this line now. */
-  users = 0;
+  refCount = 0;
   private peer: Peer | undefined;
   private lastCall = 0;
   private isClosed = false;
@@ -29,7 +29,7 @@
 
   private constructor(private readonly options: ControlLineOptions) {
     const {address, identity, security} = options;
-    this.greeted = connectPeer(address, identity, security).then(
+    this.ready = connectPeer(address, identity, security).then(
       peer => this.follow(peer),
       error => {
         this.close();
@@ -37,7 +37,7 @@
       },
     );
     // Whoever waits hears of the failure; nobody may wait any more.
-    this.greeted.catch(() => undefined);
+    this.ready.catch(() => undefined);
   }
 
   /**
@@ -48,8 +48,8 @@
    * await line.greeted;
    * const answer = await line.ask({type: 'status-ask'});
    */
-  static create(options: ControlLineOptions): ControlLine {
-    return new ControlLine(options);
+  static create(options: ControlLineOptions): ControlConnection {
+    return new ControlConnection(options);
   }
 
   get address(): string {
@@ -62,7 +62,7 @@
   }
 
   /** Asks over a greeted connection; undefined when the connection ends first. */
-  ask(question: ControlCalls['question']): Promise<ControlMessage | undefined> {
+  call(question: ControlCalls['request']): Promise<ControlMessage | undefined> {
     const {peer} = this;
     if (!peer || this.isClosed) {
       return Promise.resolve(undefined);
--- a/src/protocol/control_lines.ts
+++ b/src/protocol/control_connection_pool.ts
@@ -1,12 +1,15 @@
 /** The connections of one client to control processes: one to each, shared by its calls. */
-import {ControlLine} from './control_line';
+import {ControlConnection} from './control_connection';
 
-type LineOptions = Omit<Parameters<typeof ControlLine.create>[0], 'address'>;
+type LineOptions = Omit<
+  Parameters<typeof ControlConnection.create>[0],
+  'address'
+>;
 
 /** Opens lines when they are asked for; keeps the one to the leader. */
-export class ControlLines {
-  private readonly lines = new Map<string, ControlLine>();
-  private kept: ControlLine | undefined;
+export class ControlConnectionPool {
+  private readonly lines = new Map<string, ControlConnection>();
+  private kept: ControlConnection | undefined;
 
   private constructor(private readonly options: LineOptions) {}
 
@@ -18,33 +21,33 @@
    * const line = lines.take('127.0.0.1:7000');
    * lines.release(line);
    */
-  static create(options: LineOptions): ControlLines {
-    return new ControlLines(options);
+  static create(options: LineOptions): ControlConnectionPool {
+    return new ControlConnectionPool(options);
   }
 
   /** The line to the process that leads, as far as is known. */
-  get leader(): ControlLine | undefined {
+  get leader(): ControlConnection | undefined {
     return this.kept?.isUsable ? this.kept : undefined;
   }
 
   /** The line to an address, for one more user. */
-  take(address: string): ControlLine {
+  acquire(address: string): ControlConnection {
     const known = this.lines.get(address);
     const line = known?.isUsable
       ? known
-      : ControlLine.create({...this.options, address});
+      : ControlConnection.create({...this.options, address});
     this.lines.set(address, line);
-    line.users += 1;
+    line.refCount += 1;
     return line;
   }
 
   /** Keeps a line open for one more user. */
-  addUser(line: ControlLine): void {
-    line.users += 1;
+  retain(line: ControlConnection): void {
+    line.refCount += 1;
   }
 
   /** Keeps a line whose process leads, also without users. */
-  recordLeader(line: ControlLine): void {
+  recordLeader(line: ControlConnection): void {
     const before = this.kept;
     this.kept = line;
     if (before && before !== line) {
@@ -53,7 +56,7 @@
   }
 
   /** Its process does not lead, or its connection has ended. */
-  recordNoLeader(line: ControlLine): void {
+  clearLeader(line: ControlConnection): void {
     if (this.kept === line) {
       this.kept = undefined;
       this.closeUnused(line);
@@ -61,7 +64,7 @@
   }
 
   /** Opens another connection the next time: this one may have gone silent for good. */
-  abandon(line: ControlLine): void {
+  evict(line: ControlConnection): void {
     if (this.lines.get(line.address) === line) {
       this.lines.delete(line.address);
     }
@@ -71,8 +74,8 @@
   }
 
   /** Gives a line back. */
-  release(line: ControlLine): void {
-    line.users -= 1;
+  release(line: ControlConnection): void {
+    line.refCount -= 1;
     this.closeUnused(line);
   }
 
@@ -82,11 +85,11 @@
     this.lines.clear();
   }
 
-  private closeUnused(line: ControlLine): void {
-    if (line.users > 0 || (line === this.kept && line.isUsable)) {
+  private closeUnused(line: ControlConnection): void {
+    if (line.refCount > 0 || (line === this.kept && line.isUsable)) {
       return;
     }
-    this.abandon(line);
+    this.evict(line);
     line.close();
   }
 }
--- a/src/protocol/control_message.ts
+++ b/src/protocol/control_message.ts
@@ -5,14 +5,14 @@
 import {ClaimVerdict} from './claim_verdict';
 import {CrashReport} from './crash_report';
 import {GatewayTarget} from './gateway_target';
-import {Group} from './group';
+import {ReplicaGroup} from './replica_group';
 import {HostReport} from './host_report';
-import {LimitWord} from './limit_word';
+import {RateLimitReport} from './rate_limit_report';
 import {ModelDemand} from './model_demand';
-import {Outcome} from './outcome';
+import {RequestOutcome} from './request_outcome';
 import {PermitVerdict} from './permit_verdict';
 import {SignedBundle} from './signed_bundle';
-import {SuspectNews} from './suspect_news';
+import {SuspectUpdate} from './suspect_update';
 import {TrialVerdict} from './trial_verdict';
 
 const Call = z.int().nonnegative();
@@ -28,7 +28,7 @@
     /** Present when the asker reported another version. */
     bundle: SignedBundle.optional(),
     /** Null for none; absent when it is as the asker was told before. */
-    group: Group.nullable().optional(),
+    group: ReplicaGroup.nullable().optional(),
     /** The model that an engine without a group should load in advance. */
     standby: z.string().nullable(),
   }),
@@ -47,7 +47,7 @@
     bundleVersion: z.int(),
     bundle: SignedBundle.optional(),
     tableVersion: z.int(),
-    groups: z.array(Group).optional(),
+    groups: z.array(ReplicaGroup).optional(),
     entries: z.int().positive(),
   }),
   z.object({
@@ -76,7 +76,7 @@
     workspace: z.string(),
     key: z.string(),
     attemptId: z.string(),
-    outcome: Outcome,
+    outcome: RequestOutcome,
   }),
   z.object({type: z.literal('claim-resolved'), call: Call}),
   z.object({type: z.literal('roll-out-ask'), call: Call, bundle: SignedBundle}),
@@ -183,7 +183,7 @@
     /** Names the leader's table of limits that the gateway holds; absent at one that knows of none. */
     limitsTag: z.string().optional(),
     /** Limits that this leader was not told from here. */
-    limits: z.array(LimitWord).optional(),
+    limits: z.array(RateLimitReport).optional(),
   }),
   z.object({
     type: z.literal('gateway-answer'),
@@ -211,10 +211,10 @@
     /** Addresses of the control processes that vote. */
     control: z.array(z.string()),
     /** Present when the asker holds another list. */
-    suspects: SuspectNews.optional(),
+    suspects: SuspectUpdate.optional(),
     limitsTag: z.string().optional(),
     /** What changed in the table of limits; present when the asker holds another. */
-    limits: z.array(LimitWord).optional(),
+    limits: z.array(RateLimitReport).optional(),
   }),
   z.object({
     type: z.literal('leaving-ask'),
@@ -229,7 +229,7 @@
     call: Call,
     gatewayId: z.string().max(128),
     /** The limit as the gateway knows it. */
-    limit: LimitWord,
+    limit: RateLimitReport,
   }),
   z.object({
     type: z.literal('permit-answer'),
--- a/src/protocol/encode_canonical.ts
+++ b/src/protocol/encode_canonical_json.ts
@@ -5,7 +5,7 @@
  * @example
  * encodeCanonical({b: 1, a: 2}); // '{"a":2,"b":1}'
  */
-export function encodeCanonical(value: unknown): string {
+export function encodeCanonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => {
     const isPlainObject =
       typeof inner === 'object' && inner !== null && !Array.isArray(inner);
--- a/src/protocol/describe_drain_order.ts
+++ b/src/protocol/encode_drain_order.ts
@@ -1,4 +1,4 @@
-import {encodeCanonical} from './encode_canonical';
+import {encodeCanonicalJson} from './encode_canonical_json';
 
 /**
  * The text that an operator signs to drain a host or to take it back.
@@ -7,10 +7,10 @@
  * @example
  * sign(null, Buffer.from(describeDrainOrder('h1', true, Date.now())), privateKey);
  */
-export function describeDrainOrder(
+export function encodeDrainOrder(
   hostId: string,
   isDraining: boolean,
   time: number,
 ): string {
-  return encodeCanonical({order: 'drain', hostId, isDraining, time});
+  return encodeCanonicalJson({order: 'drain', hostId, isDraining, time});
 }
--- a/src/protocol/describe_lift_order.ts
+++ b/src/protocol/encode_lift_order.ts
@@ -1,4 +1,4 @@
-import {encodeCanonical} from './encode_canonical';
+import {encodeCanonicalJson} from './encode_canonical_json';
 
 /**
  * The text that an operator signs to let a convicted request run again.
@@ -7,6 +7,6 @@
  * @example
  * sign(null, Buffer.from(describeLiftOrder(name, Date.now())), privateKey);
  */
-export function describeLiftOrder(name: string, time: number): string {
-  return encodeCanonical({order: 'lift', name, time});
+export function encodeLiftOrder(name: string, time: number): string {
+  return encodeCanonicalJson({order: 'lift', name, time});
 }
--- a/src/protocol/engine_orders.ts
+++ b/src/protocol/engine_client.ts
@@ -34,7 +34,7 @@
 }
 
 /** Gives orders to engines. */
-export interface EngineOrders {
+export interface EngineClient {
   readonly send: (call: OrderCall) => Promise<OrderAnswer>;
   /** Asks whether this very start of an engine answers. */
   readonly probe: (address: string, incarnation: string) => Promise<boolean>;
--- a/src/protocol/leader_call.ts
+++ b/src/protocol/leader_call.ts
@@ -1,7 +1,7 @@
 /** One call: goes to whoever leads, and to the next one that does, until somebody answers. */
 import {ControlCalls} from './control_calls';
-import {ControlLine} from './control_line';
-import {ControlLines} from './control_lines';
+import {ControlConnection} from './control_connection';
+import {ControlConnectionPool} from './control_connection_pool';
 import {ControlMessage} from './control_message';
 import {LeaderFinder} from './leader_finder';
 import {ProtocolError} from './protocol_error';
@@ -11,19 +11,19 @@
 
 /** What a call works with. */
 interface LeaderCallOptions {
-  readonly question: ControlCalls['question'];
-  readonly lines: ControlLines;
+  readonly request: ControlCalls['request'];
+  readonly connections: ControlConnectionPool;
   readonly finder: LeaderFinder;
   readonly timeoutMs: number;
   /** How long the leader may take to answer before it is searched for anew, beside it. */
-  readonly besideMs: number;
+  readonly hedgeDelayMs: number;
   /** Told where control is by a process that does not lead. */
-  readonly onTold: (addresses: readonly string[]) => void;
+  readonly onRedirect: (addresses: readonly string[]) => void;
 }
 
 /** Runs once. */
 export class LeaderCall {
-  private readonly taken: ControlLine[] = [];
+  private readonly taken: ControlConnection[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
   private endWait: () => void = () => undefined;
   private isOver = false;
@@ -63,15 +63,15 @@
       this.isOver = true;
       this.endWait();
       this.timers.forEach(timer => clearTimeout(timer));
-      this.taken.forEach(line => this.options.lines.release(line));
+      this.taken.forEach(line => this.options.connections.release(line));
     }
   }
 
   /** Ends without an answer; the next call asks over other connections, as these may be silent for good. */
   abandon(reason: string): void {
-    const {lines, finder} = this.options;
+    const {connections: lines, finder} = this.options;
     const {lastError} = finder;
-    this.taken.forEach(line => lines.abandon(line));
+    this.taken.forEach(line => lines.evict(line));
     this.fail(
       lastError
         ? new ProtocolError(lastError, reason)
@@ -80,7 +80,7 @@
   }
 
   private askLeader(): void {
-    const {lines, finder} = this.options;
+    const {connections: lines, finder} = this.options;
     if (this.isOver) {
       return;
     }
@@ -93,16 +93,21 @@
     this.endWait = finder.wait(line => void this.ask(line));
   }
 
-  private async ask(line: ControlLine): Promise<void> {
-    const {lines, question, besideMs, onTold} = this.options;
-    lines.addUser(line);
+  private async ask(line: ControlConnection): Promise<void> {
+    const {
+      connections: lines,
+      request: question,
+      hedgeDelayMs: besideMs,
+      onRedirect: onTold,
+    } = this.options;
+    lines.retain(line);
     this.taken.push(line);
     const timer = this.schedule(besideMs, () => {
       // It may be slow, or its connection silent for good.
-      lines.abandon(line);
+      lines.evict(line);
       this.askLeader();
     });
-    const answer = await line.ask(question);
+    const answer = await line.call(question);
     const isSlow = !this.timers.has(timer);
     clearTimeout(timer);
     if (this.isOver) {
@@ -112,7 +117,7 @@
       this.finish(answer);
       return;
     }
-    lines.recordNoLeader(line);
+    lines.clearLeader(line);
     onTold(answer?.control ?? []);
     if (!isSlow) {
       this.schedule(AGAIN_AFTER_MS, () => this.askLeader());
--- a/src/protocol/search_order.ts
+++ b/src/protocol/leader_candidates.ts
@@ -5,7 +5,7 @@
  * The load that it answers: after a loss some of the processes are dead or stand
  * still, and others do not know yet who leads and tell different lists.
  */
-export class SearchOrder {
+export class LeaderCandidates {
   private readonly known: Set<string>;
   private waiting: string[];
   private readonly trying = new Set<string>();
@@ -23,8 +23,8 @@
    * const order = SearchOrder.create(['a:1', 'b:1']);
    * order.takeNext(); // 'a:1'
    */
-  static create(addresses: readonly string[]): SearchOrder {
-    return new SearchOrder(addresses);
+  static create(addresses: readonly string[]): LeaderCandidates {
+    return new LeaderCandidates(addresses);
   }
 
   /** The address to ask next; undefined when this round has no more. */
@@ -37,12 +37,12 @@
   }
 
   /** Nothing more comes from this address in this round. */
-  recordEnd(address: string): void {
+  finish(address: string): void {
     this.trying.delete(address);
   }
 
   /** Takes what a process that does not lead tells, the leader as it knows it first. */
-  recordTold(addresses: readonly string[]): void {
+  add(addresses: readonly string[]): void {
     const added = addresses.filter(address => !this.known.has(address));
     added.forEach(address => this.known.add(address));
     const [likeliest] = addresses;
--- a/src/protocol/leader_finder.ts
+++ b/src/protocol/leader_finder.ts
@@ -8,10 +8,10 @@
  * their whole patience. Forty calls put 480 questions in 0.6 s to a process that does
  * not lead when each searched by itself; together they put 12.
  */
-import {ControlLine} from './control_line';
-import {ControlLines} from './control_lines';
+import {ControlConnection} from './control_connection';
+import {ControlConnectionPool} from './control_connection_pool';
 import {ControlMessage} from './control_message';
-import {SearchOrder} from './search_order';
+import {LeaderCandidates} from './leader_candidates';
 
 /**
  * For a connection, a hello and an answer each, in milliseconds, before the next
@@ -35,16 +35,16 @@
 
 /** What a finder works with. */
 interface LeaderFinderOptions {
-  readonly lines: ControlLines;
+  readonly connections: ControlConnectionPool;
   /** Addresses to ask, the likeliest first. */
   readonly listAddresses: () => readonly string[];
   /** Told where control is by a process that does not lead. */
-  readonly onTold: (addresses: readonly string[]) => void;
+  readonly onRedirect: (addresses: readonly string[]) => void;
 }
 
 /** Searches while somebody waits. */
 export class LeaderFinder {
-  private waiting = new Set<(line: ControlLine) => void>();
+  private waiting = new Set<(line: ControlConnection) => void>();
   private search: Search | undefined;
   private newestTries: readonly SearchTry[] = [];
   /** Why the newest try failed. */
@@ -73,7 +73,7 @@
    *
    * @returns ends the wait
    */
-  wait(onFound: (line: ControlLine) => void): () => void {
+  wait(onFound: (line: ControlConnection) => void): () => void {
     this.waiting.add(onFound);
     this.search ??= this.startSearch();
     return () => {
@@ -105,8 +105,8 @@
     return search;
   }
 
-  private handleFound(line: ControlLine): void {
-    this.options.lines.recordLeader(line);
+  private handleFound(line: ControlConnection): void {
+    this.options.connections.recordLeader(line);
     const {waiting} = this;
     this.waiting = new Set();
     // Each takes the line for itself before the search gives it back.
@@ -117,19 +117,19 @@
 
 /** What one search works with. */
 interface SearchOptions extends LeaderFinderOptions {
-  readonly onFound: (line: ControlLine) => void;
+  readonly onFound: (line: ControlConnection) => void;
   readonly onTry: (tried: SearchTry, error?: Error) => void;
 }
 
 /** One search, from the first question to the first that leads. */
 class Search {
-  private readonly order: SearchOrder;
-  private readonly taken: ControlLine[] = [];
+  private readonly order: LeaderCandidates;
+  private readonly taken: ControlConnection[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
   private isOver = false;
 
   private constructor(private readonly options: SearchOptions) {
-    this.order = SearchOrder.create(options.listAddresses());
+    this.order = LeaderCandidates.create(options.listAddresses());
   }
 
   static create(options: SearchOptions): Search {
@@ -139,7 +139,9 @@
   stop(): void {
     this.isOver = true;
     this.timers.forEach(timer => clearTimeout(timer));
-    this.taken.splice(0).forEach(line => this.options.lines.release(line));
+    this.taken
+      .splice(0)
+      .forEach(line => this.options.connections.release(line));
   }
 
   askNext(): void {
@@ -152,7 +154,7 @@
       return;
     }
     this.schedule(ROUND_PAUSE_MS, () => {
-      this.order.recordTold(this.options.listAddresses());
+      this.order.add(this.options.listAddresses());
       this.order.startRound();
       this.askNext();
     });
@@ -169,7 +171,7 @@
     };
     const line = this.takeLine(address);
     this.schedule(BESIDE_MS, moveOn);
-    const outcome = await line.greeted.then(
+    const outcome = await line.ready.then(
       () => this.askLine(line),
       (error: Error) => error,
     );
@@ -179,20 +181,22 @@
     }
   }
 
-  private takeLine(address: string): ControlLine {
-    const line = this.options.lines.take(address);
+  private takeLine(address: string): ControlConnection {
+    const line = this.options.connections.acquire(address);
     this.taken.push(line);
     return line;
   }
 
   /** Undefined when it is silent for long or its connection ends. */
-  private askLine(line: ControlLine): Promise<ControlMessage | undefined> {
+  private askLine(
+    line: ControlConnection,
+  ): Promise<ControlMessage | undefined> {
     return new Promise(resolve => {
       const timer = this.schedule(SILENT_MS, () => {
-        this.options.lines.abandon(line);
+        this.options.connections.evict(line);
         resolve(undefined);
       });
-      void line.ask({type: 'leader-ask'}).then(answer => {
+      void line.call({type: 'leader-ask'}).then(answer => {
         clearTimeout(timer);
         resolve(answer);
       });
@@ -200,21 +204,21 @@
   }
 
   private handleOutcome(
-    line: ControlLine,
+    line: ControlConnection,
     outcome: ControlMessage | Error | undefined,
     startedAt: number,
   ): void {
-    const {onFound, onTold, onTry} = this.options;
+    const {onFound, onRedirect: onTold, onTry} = this.options;
     const {address} = line;
     const tookMs = Math.round(performance.now() - startedAt);
-    this.order.recordEnd(address);
+    this.order.finish(address);
     if (outcome instanceof Error) {
       onTry({address, outcome: 'unreached', tookMs}, outcome);
     } else if (outcome === undefined) {
       onTry({address, outcome: 'silent', tookMs});
     } else if (outcome.type === 'not-leader') {
       onTry({address, outcome: 'does not lead', tookMs});
-      this.order.recordTold(outcome.control ?? []);
+      this.order.add(outcome.control ?? []);
       onTold(outcome.control ?? []);
     } else {
       onTry({address, outcome: 'leads', tookMs});
--- a/src/protocol/list_member_names.ts
+++ b/src/protocol/list_member_incarnations.ts
@@ -6,6 +6,8 @@
  * @example
  * const names = listMemberNames(group);
  */
-export function listMemberNames(group: Pick<EngineGroup, 'members'>): string[] {
+export function listMemberIncarnations(
+  group: Pick<EngineGroup, 'members'>,
+): string[] {
   return group.members.map(member => member.incarnation);
 }
--- a/src/protocol/message.ts
+++ b/src/protocol/message.ts
@@ -4,12 +4,12 @@
 import {HelloMessage} from './hello_message';
 import {MembershipMessage} from './membership_message';
 import {RaftMessage} from './raft_message';
-import {WorkMessage} from './work_message';
+import {RequestMessage} from './request_message';
 
 /** Every message between the system's own processes. */
 export const Message = z.discriminatedUnion('type', [
   HelloMessage,
-  WorkMessage,
+  RequestMessage,
   MembershipMessage,
   ControlMessage,
   RaftMessage,
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -85,8 +85,8 @@
   }
 
   /** Closes after what was sent has left. */
-  finish(): void {
-    this.connection.finish();
+  end(): void {
+    this.connection.end();
   }
 
   private receive(frame: Buffer, greet: () => void): void {
--- a/src/protocol/work_message.ts
+++ b/src/protocol/request_message.ts
@@ -5,14 +5,14 @@
  * frames from 0, and `end` carries their count, so that a gap is noticed.
  */
 import {z} from 'zod';
-import {Outcome} from './outcome';
+import {RequestOutcome} from './request_outcome';
 
 const Stream = z.int().nonnegative();
 const AttemptId = z.string().max(128);
 const Headers = z.record(z.string(), z.string());
 const Bytes = z.custom<Uint8Array>(value => value instanceof Uint8Array);
 
-export const WorkMessage = z.discriminatedUnion('type', [
+export const RequestMessage = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('dispatch'),
     stream: Stream,
@@ -56,7 +56,7 @@
     type: z.literal('end'),
     stream: Stream,
     frames: z.int().nonnegative(),
-    outcome: Outcome,
+    outcome: RequestOutcome,
     reason: z.string(),
   }),
   z.object({
@@ -80,7 +80,7 @@
     attemptId: AttemptId,
     /** `never-started` also promises that it never will be. */
     verdict: z.enum(['never-started', 'running', 'ended', 'forgotten']),
-    outcome: Outcome.optional(),
+    outcome: RequestOutcome.optional(),
   }),
 ]);
-export type WorkMessage = z.infer<typeof WorkMessage>;
+export type RequestMessage = z.infer<typeof RequestMessage>;
--- a/src/protocol/outcome.ts
+++ b/src/protocol/request_outcome.ts
@@ -8,5 +8,10 @@
  * - `failed`: ran, and failed in whole or in part.
  * - `unknown`: may have run.
  */
-export const Outcome = z.enum(['answered', 'not-run', 'failed', 'unknown']);
-export type Outcome = z.infer<typeof Outcome>;
+export const RequestOutcome = z.enum([
+  'answered',
+  'not-run',
+  'failed',
+  'unknown',
+]);
+export type RequestOutcome = z.infer<typeof RequestOutcome>;
--- a/src/protocol/sign_bundle.ts
+++ b/src/protocol/sign_bundle.ts
@@ -1,7 +1,7 @@
 import {KeyObject, sign} from 'node:crypto';
 import {Bundle} from './bundle';
 import {computeKeyId} from './compute_key_id';
-import {encodeCanonical} from './encode_canonical';
+import {encodeCanonicalJson} from './encode_canonical_json';
 import {SignedBundle} from './signed_bundle';
 
 /**
@@ -14,7 +14,7 @@
   bundle: Bundle,
   privateKey: KeyObject,
 ): SignedBundle {
-  const document = encodeCanonical(bundle);
+  const document = encodeCanonicalJson(bundle);
   const signature = sign(null, Buffer.from(document), privateKey).toString(
     'base64',
   );
--- a/src/protocol/suspect_news.ts
+++ b/src/protocol/suspect_update.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 
 /** Which requests gateways must hold back, or what changed of it. */
-export const SuspectNews = z.object({
+export const SuspectUpdate = z.object({
   /** Rises with each change, whichever process leads. */
   version: z.int(),
   /** False where only what changed is told. */
@@ -13,4 +13,4 @@
   /** Sent like any other again. */
   freed: z.array(z.string()),
 });
-export type SuspectNews = z.infer<typeof SuspectNews>;
+export type SuspectUpdate = z.infer<typeof SuspectUpdate>;
--- a/src/state/claim_table.ts
+++ b/src/state/claim_table.ts
@@ -3,7 +3,7 @@
 import {ClaimVerdict} from '../protocol/claim_verdict';
 import {ControlCommand} from '../protocol/control_command';
 import {MessageOf} from '../protocol/message_of';
-import {Outcome} from '../protocol/outcome';
+import {RequestOutcome} from '../protocol/request_outcome';
 
 type ClaimCommand = MessageOf<ControlCommand, 'claim'>;
 type ResolveCommand = MessageOf<ControlCommand, 'resolve-claim'>;
@@ -17,7 +17,7 @@
   incarnation: z.string(),
   address: z.string(),
   time: z.number(),
-  outcome: Outcome.optional(),
+  outcome: RequestOutcome.optional(),
 });
 type Claim = z.infer<typeof Claim>;
 
--- a/src/state/group_table.ts
+++ b/src/state/group_table.ts
@@ -1,10 +1,10 @@
 /** Replica groups: who belongs to which, under which epoch. */
 import {z} from 'zod';
-import {Group} from '../protocol/group';
+import {ReplicaGroup} from '../protocol/replica_group';
 import {CommandResult} from './command_result';
 
 const Snapshot = z.object({
-  groups: z.array(Group),
+  groups: z.array(ReplicaGroup),
   /** The last epoch of every group that ever was; epochs are never used again. */
   epochs: z.record(z.string(), z.int()),
   version: z.int(),
@@ -12,7 +12,7 @@
 
 /** Holds each host in one group at most. */
 export class GroupTable {
-  private readonly groups: Map<string, Group>;
+  private readonly groups: Map<string, ReplicaGroup>;
   private readonly epochs: Map<string, number>;
   private readonly groupOfHost = new Map<string, string>();
 
@@ -43,16 +43,16 @@
     return this.changeCount;
   }
 
-  list(): Group[] {
+  list(): ReplicaGroup[] {
     return [...this.groups.values()];
   }
 
-  find(groupId: string): Group | undefined {
+  find(groupId: string): ReplicaGroup | undefined {
     return this.groups.get(groupId);
   }
 
   /** The group that a host belongs to. */
-  findByHost(hostId: string): Group | undefined {
+  findByHost(hostId: string): ReplicaGroup | undefined {
     return this.groups.get(this.groupOfHost.get(hostId) ?? '');
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Sets a group under its next epoch. */
-  set(group: Group): CommandResult {
+  set(group: ReplicaGroup): CommandResult {
     const expected = this.findEpoch(group.id) + 1;
     if (group.epoch !== expected) {
       return {
@@ -124,7 +124,7 @@
     return owner !== undefined && owner !== groupId;
   }
 
-  private indexMembers(group: Group): void {
+  private indexMembers(group: ReplicaGroup): void {
     group.members.forEach(member =>
       this.groupOfHost.set(member.hostId, group.id),
     );
--- a/src/state/suspect_table.ts
+++ b/src/state/suspect_table.ts
@@ -4,7 +4,7 @@
 import {decideVerdict} from '../coordination/requests/decide_verdict';
 import {WAVE_MS} from '../coordination/requests/wave_ms';
 import {CrashReport} from '../protocol/crash_report';
-import {SuspectNews} from '../protocol/suspect_news';
+import {SuspectUpdate} from '../protocol/suspect_update';
 import {TrialVerdict} from '../protocol/trial_verdict';
 import {listForgotten} from './list_forgotten';
 import {Suspect} from './suspect';
@@ -180,7 +180,7 @@
   }
 
   /** What a gateway needs that knows the list as of a version. */
-  describeSince(version: number): SuspectNews {
+  describeSince(version: number): SuspectUpdate {
     const oldest = this.freed[0]?.[1] ?? 0;
     const hasAll = this.freed.length < MAX_FREED || version >= oldest;
     const isWhole = version > this.changes || version === 0 || !hasAll;
--- a/src/transport/http_backend.ts
+++ b/src/transport/backend_http_client.ts
@@ -25,7 +25,7 @@
 }
 
 /** Sends calls to backend servers and never sends one twice. */
-export class HttpBackend {
+export class BackendHttpClient {
   private constructor(private readonly agent: Agent) {}
 
   /**
@@ -37,14 +37,14 @@
    * @example
    * const backend = HttpBackend.create();
    */
-  static create(): HttpBackend {
+  static create(): BackendHttpClient {
     const agent = new Agent({
       pipelining: 1,
       connect: {timeout: CONNECT_TIMEOUT_MS},
       headersTimeout: HEADERS_TIMEOUT_MS,
       bodyTimeout: HEADERS_TIMEOUT_MS,
     });
-    return new HttpBackend(agent);
+    return new BackendHttpClient(agent);
   }
 
   /**
--- a/src/transport/frame_connection.ts
+++ b/src/transport/frame_connection.ts
@@ -5,7 +5,7 @@
 import {PushSource} from '../common/push_source';
 import {FrameSplitter} from './frame_splitter';
 import {TransportError} from './transport_error';
-import {TransportSecurity} from './transport_security';
+import {TlsCredentials} from './tls_credentials';
 
 const LENGTH_BYTES = 4;
 /** A bundle may be as large as a body may, and travels as text and as rules. */
@@ -17,7 +17,7 @@
 interface ConnectOptions {
   readonly host: string;
   readonly port: number;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   readonly timeoutMs?: number;
 }
 
@@ -130,7 +130,7 @@
   }
 
   /** Closes after what was sent has left. */
-  finish(): void {
+  end(): void {
     this.socket.end();
     this.socket.resume();
   }
--- a/src/transport/frame_server.ts
+++ b/src/transport/frame_server.ts
@@ -3,7 +3,7 @@
 import * as tls from 'node:tls';
 import {FrameConnection} from './frame_connection';
 import {TransportError} from './transport_error';
-import {TransportSecurity} from './transport_security';
+import {TlsCredentials} from './tls_credentials';
 
 const DEFAULT_MAX_CONNECTIONS = 20_000;
 
@@ -12,7 +12,7 @@
   readonly host: string;
   /** 0 takes any free port. */
   readonly port: number;
-  readonly security?: TransportSecurity;
+  readonly security?: TlsCredentials;
   readonly maxConnections?: number;
   readonly onConnection: (connection: FrameConnection) => void;
 }
--- a/src/transport/http_origins.ts
+++ b/src/transport/http_client_pool.ts
@@ -46,7 +46,7 @@
 }
 
 /** One small pool of connections for each server. */
-export class HttpOrigins {
+export class HttpClientPool {
   private readonly pools = new Map<string, Pool>();
 
   private constructor() {}
@@ -58,8 +58,8 @@
    * const origins = HttpOrigins.create();
    * const handle = origins.call(call, events);
    */
-  static create(): HttpOrigins {
-    return new HttpOrigins();
+  static create(): HttpClientPool {
+    return new HttpClientPool();
   }
 
   /** Starts a call. Errors named `NeverSent` mean that nothing can have run. */
--- a/src/transport/probe_listening.ts
+++ b/src/transport/probe_port.ts
@@ -8,7 +8,7 @@
  * @example
  * const state = await probeListening({host: '127.0.0.1', port: 8080}, 300);
  */
-export function probeListening(
+export function probePort(
   {host, port}: {readonly host: string; readonly port: number},
   timeoutMs: number,
 ): Promise<'listens' | 'refuses' | 'silent'> {
--- a/src/transport/transport_security.ts
+++ b/src/transport/tls_credentials.ts
@@ -1,5 +1,5 @@
 /** Keys for mutual TLS between processes, in PEM text. */
-export interface TransportSecurity {
+export interface TlsCredentials {
   /** The authority that signs every process's certificate. */
   readonly authority: string;
   readonly certificate: string;
--- a/test/control/engine_orders.test.ts
+++ b/test/control/engine_orders.test.ts
@@ -8,11 +8,11 @@
 import {OrderDispatcher} from '../../src/control/order_dispatcher';
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {EngineAction} from '../../src/coordination/groups/engine_action';
-import {EngineOrders} from '../../src/protocol/engine_orders';
+import {EngineClient} from '../../src/protocol/engine_client';
 import {PROFILE, group, host, told} from '../support/engine_plan';
 
 type Order = Extract<EngineAction, {type: 'order'}>;
-type Answer = Awaited<ReturnType<EngineOrders['send']>>;
+type Answer = Awaited<ReturnType<EngineClient['send']>>;
 
 const STALL_MS = 5_000;
 const HEARTBEAT_MS = 1_000;
@@ -60,7 +60,7 @@
     const sent: string[] = [];
     const answers: Answer[] = [];
     const expected: number[] = [];
-    const orders: EngineOrders = {
+    const orders: EngineClient = {
       send: ({incarnation, order, ordersTaken}) => {
         sent.push(`${order.kind} ${incarnation}`);
         expected.push(ordersTaken);
@@ -205,7 +205,7 @@
     const registry = createRegistry(clock);
     const answering = new Set(['a:1', 'b:1']);
     const asked: string[] = [];
-    const orders: EngineOrders = {
+    const orders: EngineClient = {
       send: () => Promise.resolve({outcome: 'begun'}),
       probe: address => {
         asked.push(address);
--- a/test/control/seeded_quorum.test.ts
+++ b/test/control/seeded_quorum.test.ts
@@ -86,7 +86,7 @@
 function createClient(addresses: readonly string[]): ControlClient {
   const client = ControlClient.create({
     addresses,
-    tryTimeoutMs: 500,
+    hedgeDelayMs: 500,
     identity: {program: 'operator', id: 'test', incarnation: 'i'},
   });
   closers.push(() => client.close());
--- a/test/coordination/membership.test.ts
+++ b/test/coordination/membership.test.ts
@@ -3,13 +3,17 @@
 import {GroupLease} from '../../src/coordination/groups/group_lease';
 import {HEARTBEAT_LEASE_MS} from '../../src/coordination/groups/heartbeat_lease_ms';
 import {Membership} from '../../src/coordination/groups/membership';
-import {Group} from '../../src/protocol/group';
+import {ReplicaGroup} from '../../src/protocol/replica_group';
 import {GroupTable} from '../../src/state/group_table';
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4'];
 const RUNS = 1_000;
 
-function createGroup(id: string, epoch: number, members: string[]): Group {
+function createGroup(
+  id: string,
+  epoch: number,
+  members: string[],
+): ReplicaGroup {
   return {
     id,
     epoch,
@@ -42,7 +46,7 @@
     this.lease = undefined;
   }
 
-  assign(group: Group | null): void {
+  assign(group: ReplicaGroup | null): void {
     if (this.membership.assign(group)) {
       const isFirst = group?.members[0].hostId === this.hostId;
       this.lease =
--- a/test/entry/request_runner.test.ts
+++ b/test/entry/request_runner.test.ts
@@ -9,8 +9,8 @@
 import {RequestRunner} from '../../src/entry/request_runner';
 import {RouteTable} from '../../src/entry/route_table';
 import {ControlClient} from '../../src/protocol/control_client';
-import {Group} from '../../src/protocol/group';
-import {WorkMessage} from '../../src/protocol/work_message';
+import {ReplicaGroup} from '../../src/protocol/replica_group';
+import {RequestMessage} from '../../src/protocol/request_message';
 import {call} from '../support/caller';
 import {FakeHost} from '../support/fake_host';
 import {waitUntil} from '../support/wait_until';
@@ -25,7 +25,7 @@
   }
 });
 
-function createGroup(id: string, address: string): Group {
+function createGroup(id: string, address: string): ReplicaGroup {
   const members = [{hostId: id, incarnation: 'fake', address}];
   const place = {kind: 'model', name: 'm', domain: 'd', zone: 'z'} as const;
   return {id, epoch: 1, fencing: 1, ...place, members, isDraining: false};
@@ -86,7 +86,7 @@
   return host;
 }
 
-function data(stream: number, sequence: number, text: string): WorkMessage {
+function data(stream: number, sequence: number, text: string): RequestMessage {
   return {
     type: 'data',
     stream,
@@ -95,7 +95,7 @@
   };
 }
 
-function end(stream: number, frames: number): WorkMessage {
+function end(stream: number, frames: number): RequestMessage {
   return {type: 'end', stream, frames, outcome: 'answered', reason: ''};
 }
 
@@ -158,7 +158,7 @@
       const {stream} = dispatch;
       send({type: 'head', stream, status: 200, headers: EVENTS});
       send(data(stream, 0, 'a'));
-      peer.finish();
+      peer.end();
     });
     const second = await createHost((dispatch, send) => {
       const {stream} = dispatch;
--- a/test/protocol/control_client.test.ts
+++ b/test/protocol/control_client.test.ts
@@ -80,7 +80,7 @@
   const addresses = await Promise.all([true, true, false].map(startControl));
   const client = ControlClient.create({
     addresses,
-    tryTimeoutMs: 1_000,
+    hedgeDelayMs: 1_000,
     identity: {program: 'gateway', id: 'g', incarnation: 'i'},
   });
   closers.push(() => client.close());
@@ -94,7 +94,7 @@
   const addresses = [await startSlowLink(await startControl(false), 600)];
   const client = ControlClient.create({
     addresses,
-    tryTimeoutMs: 1_000,
+    hedgeDelayMs: 1_000,
     identity: {program: 'gateway', id: 'g', incarnation: 'i'},
   });
   closers.push(() => client.close());
--- a/test/protocol/search_order.test.ts
+++ b/test/protocol/leader_candidates.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
-import {SearchOrder} from '../../src/protocol/search_order';
+import {LeaderCandidates} from '../../src/protocol/leader_candidates';
 
-function takeAll(order: SearchOrder): string[] {
+function takeAll(order: LeaderCandidates): string[] {
   const taken: string[] = [];
   for (
     let address = order.takeNext();
@@ -14,29 +14,29 @@
 }
 
 test('everybody is asked once a round, whatever those that do not lead tell', () => {
-  const order = SearchOrder.create(['a', 'b', 'c']);
+  const order = LeaderCandidates.create(['a', 'b', 'c']);
 
   const first = order.takeNext();
-  order.recordTold(['a', 'b', 'c', 'x']);
+  order.add(['a', 'b', 'c', 'x']);
   const second = order.takeNext();
-  order.recordTold(['a', 'b', 'c', 'y']);
+  order.add(['a', 'b', 'c', 'y']);
 
   expect([first, second, ...takeAll(order)]).toEqual(['a', 'b', 'c', 'x', 'y']);
 });
 
 test('the leader that is told comes next, unless it was asked in this round', () => {
-  const order = SearchOrder.create(['a', 'b', 'c']);
+  const order = LeaderCandidates.create(['a', 'b', 'c']);
 
   order.takeNext();
-  order.recordTold(['c', 'b']);
+  order.add(['c', 'b']);
 
   expect(takeAll(order)).toEqual(['c', 'b']);
 });
 
 test('a round leaves out those whose answer may still come', () => {
-  const order = SearchOrder.create(['a', 'b']);
+  const order = LeaderCandidates.create(['a', 'b']);
   takeAll(order);
-  order.recordEnd('b');
+  order.finish('b');
 
   order.startRound();
 
--- a/test/protocol/leader_search.test.ts
+++ b/test/protocol/leader_search.test.ts
@@ -71,7 +71,7 @@
 function createClient(addresses: readonly string[]): ControlClient {
   const client = ControlClient.create({
     addresses,
-    tryTimeoutMs: 400,
+    hedgeDelayMs: 400,
     identity: {program: 'operator', id: 'o', incarnation: 'i'},
   });
   closers.push(() => client.close());
--- a/test/protocol/peer.test.ts
+++ b/test/protocol/peer.test.ts
@@ -26,7 +26,7 @@
   });
   connection.send(messageCodec.encode({type: 'hello', protocol: 1, ...hello}));
   connection.send(messageCodec.encode({type: 'status-ask', call: 7}));
-  connection.finish();
+  connection.end();
   await connection.closed;
 
   expect(received).toEqual([{type: 'status-ask', call: 7}]);
--- a/test/protocol/silent_leader.test.ts
+++ b/test/protocol/unresponsive_leader.test.ts
@@ -51,7 +51,7 @@
   ]);
   const client = ControlClient.create({
     addresses,
-    tryTimeoutMs: PATIENCE_MS,
+    hedgeDelayMs: PATIENCE_MS,
     identity: {program: 'host', id: 'h', incarnation: 'i'},
   });
   closers.push(() => client.close());
--- a/test/support/fake_host.ts
+++ b/test/support/fake_host.ts
@@ -2,15 +2,15 @@
 import {Message} from '../../src/protocol/message';
 import {MessageOf} from '../../src/protocol/message_of';
 import {Peer} from '../../src/protocol/peer';
-import {WorkMessage} from '../../src/protocol/work_message';
+import {RequestMessage} from '../../src/protocol/request_message';
 import {FrameServer} from '../../src/transport/frame_server';
 
-type Dispatch = MessageOf<WorkMessage, 'dispatch'>;
+type Dispatch = MessageOf<RequestMessage, 'dispatch'>;
 
 /** How a fake host answers each dispatch. */
 type Answer = (
   dispatch: Dispatch,
-  send: (message: WorkMessage) => void,
+  send: (message: RequestMessage) => void,
   peer: Peer,
 ) => void;
 
--- a/test/support/flow_fixture.ts
+++ b/test/support/flow_fixture.ts
@@ -16,7 +16,7 @@
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {PermitVerdict} from '../../src/protocol/permit_verdict';
-import {HttpOrigins} from '../../src/transport/http_origins';
+import {HttpClientPool} from '../../src/transport/http_client_pool';
 import {BackendStandIn} from './backend_stand_in';
 import {plainDialect} from './plain_dialect';
 
@@ -82,7 +82,7 @@
     },
     onEnded: () => undefined,
   });
-  private readonly origins = HttpOrigins.create();
+  private readonly origins = HttpClientPool.create();
   private readonly flows = new Set<RequestFlow>();
   private readonly timer: NodeJS.Timeout;
 
--- a/test/support/limit_crowd.ts
+++ b/test/support/limit_crowd.ts
@@ -7,7 +7,7 @@
 import {EventRing} from '../../src/common/event_ring';
 import {LimitDesk} from '../../src/control/limit_desk';
 import {BackendLimits} from '../../src/gateway/backend_limits';
-import {LimitWord} from '../../src/protocol/limit_word';
+import {RateLimitReport} from '../../src/protocol/rate_limit_report';
 import {VirtualTime} from '../simulation/virtual_time';
 
 export const BACKEND = 'b1@1';
@@ -158,7 +158,7 @@
 
   askPermit(
     gateway: CrowdGateway,
-    limit: LimitWord,
+    limit: RateLimitReport,
   ): ReturnType<Parameters<typeof BackendLimits.create>[0]['askPermit']> {
     this.asks += 1;
     const {limits} = gateway;
--- a/test/support/test_fleet.ts
+++ b/test/support/test_fleet.ts
@@ -8,7 +8,7 @@
 import {FleetStatus} from '../../src/protocol/fleet_status';
 import {signBundle} from '../../src/protocol/sign_bundle';
 import {OperatorClient} from '../../src/operator/operator_client';
-import {TransportSecurity} from '../../src/transport/transport_security';
+import {TlsCredentials} from '../../src/transport/tls_credentials';
 import {EngineStandIn} from '../stand_ins/engine_stand_in';
 import {ManagedProcess} from './managed_process';
 import {RelayNet} from './relay_net';
@@ -348,7 +348,7 @@
   return found;
 }
 
-function readTestSecurity(): TransportSecurity {
+function readTestSecurity(): TlsCredentials {
   const read = (name: string) =>
     readFileSync(path.join(TLS_FIXTURES, name), 'utf8');
   return {
--- a/test/transport/tls.test.ts
+++ b/test/transport/tls.test.ts
@@ -4,17 +4,17 @@
 import {connectPeer} from '../../src/protocol/connect_peer';
 import {Peer} from '../../src/protocol/peer';
 import {FrameServer} from '../../src/transport/frame_server';
-import {TransportSecurity} from '../../src/transport/transport_security';
+import {TlsCredentials} from '../../src/transport/tls_credentials';
 
 const FIXTURES = path.resolve(__dirname, '../fixtures/tls');
 const read = (name: string) => readFileSync(path.join(FIXTURES, name), 'utf8');
 const authority = read('authority.pem');
-const trusted: TransportSecurity = {
+const trusted: TlsCredentials = {
   authority,
   certificate: read('process.pem'),
   key: read('process.key'),
 };
-const stranger: TransportSecurity = {
+const stranger: TlsCredentials = {
   authority,
   certificate: read('stranger.pem'),
   key: read('stranger.key'),
