--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -7,12 +7,12 @@
 import {listDemands} from '../src/coordination/groups/list_demands';
 import {PlanContext} from '../src/coordination/groups/plan_context';
 import {planFormation} from '../src/coordination/groups/plan_formation';
-import {ReplicaGroup} from '../src/protocol/replica_group';
+import {Group} from '../src/protocol/group';
 import {RepairPolicy} from './virtual_fleet';
 
-type Member = ReplicaGroup['members'][number];
+type Member = Group['members'][number];
 type Repair = (
-  group: ReplicaGroup,
+  group: Group,
   lost: readonly Member[],
   context: PlanContext,
 ) => GroupAction | undefined;
@@ -48,7 +48,7 @@
 };
 
 function replace(
-  group: ReplicaGroup,
+  group: Group,
   lost: readonly Member[],
   context: PlanContext,
 ): GroupAction | undefined {
--- a/bench/light_fleet.ts
+++ b/bench/light_fleet.ts
@@ -3,7 +3,7 @@
 import {MessageOf} from '../src/protocol/message_of';
 import {messageCodec} from '../src/protocol/message_codec';
 import {connectPeer} from '../src/protocol/connect_peer';
-import {ReplicaGroup} from '../src/protocol/replica_group';
+import {Group} from '../src/protocol/group';
 import {Peer} from '../src/protocol/peer';
 import {FrameServer} from '../src/transport/frame_server';
 
@@ -69,7 +69,7 @@
   ): Promise<void> {
     const incarnation = `i-${at}`;
     const port = await this.listenForEntries(hostId, incarnation);
-    let group: ReplicaGroup | null = null;
+    let group: Group | null = null;
     let bundleVersion = 0;
     const peer = await this.connect(
       {program: 'host', id: hostId, incarnation},
--- a/bench/virtual_fleet.ts
+++ b/bench/virtual_fleet.ts
@@ -8,7 +8,7 @@
 import {GroupPlanInput} from '../src/coordination/groups/group_plan_input';
 import {HostView} from '../src/coordination/groups/host_view';
 import {Bundle} from '../src/protocol/bundle';
-import {ReplicaGroup} from '../src/protocol/replica_group';
+import {Group} from '../src/protocol/group';
 import {HostReport} from '../src/protocol/host_report';
 import {GroupTable} from '../src/state/group_table';
 import {Fleet} from '../src/control/fleet';
@@ -233,7 +233,7 @@
     this.loadsUntil.push(host.loadedAt);
   }
 
-  private isServing(group: ReplicaGroup): boolean {
+  private isServing(group: Group): boolean {
     const isReady = this.now >= (this.readyAt.get(group.id) ?? 0);
     return (
       isReady &&
--- a/src/control/call_handlers.ts
+++ b/src/control/call_handlers.ts
@@ -6,7 +6,7 @@
 import {encodeDrainOrder} from '../protocol/encode_drain_order';
 import {encodeLiftOrder} from '../protocol/encode_lift_order';
 import {FleetStatus} from '../protocol/fleet_status';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {HostReport} from '../protocol/host_report';
 import {MessageOf} from '../protocol/message_of';
 import {openSignedBundle} from '../protocol/open_signed_bundle';
@@ -151,7 +151,7 @@
 function findAssignment(
   runtime: RaftRuntime,
   report: HostReport,
-): ReplicaGroup | null {
+): Group | null {
   const group = runtime.state.groups.findByHost(report.hostId);
   const member = group?.members.find(known => known.hostId === report.hostId);
   return group && member?.incarnation === report.incarnation ? group : null;
@@ -159,9 +159,9 @@
 
 /** Undefined when the host was told the same before. */
 function findNews(
-  group: ReplicaGroup | null,
+  group: Group | null,
   {told}: HostReport,
-): ReplicaGroup | null | undefined {
+): Group | null | undefined {
   const isSame =
     group?.fencing === told?.fencing && group?.isDraining === told?.isDraining;
   return isSame ? undefined : group;
--- a/src/control/create_status.ts
+++ b/src/control/create_status.ts
@@ -1,6 +1,6 @@
 import {HostView} from '../coordination/groups/host_view';
 import {FleetStatus} from '../protocol/fleet_status';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {Fleet} from './fleet';
 import {RaftRuntime} from './raft_runtime';
 
@@ -57,7 +57,7 @@
 }
 
 function describeGroup(
-  group: ReplicaGroup,
+  group: Group,
   hosts: readonly HostView[],
 ): FleetStatus['groups'][number] {
   const first = hosts.find(
--- a/src/coordination/groups/create_member.ts
+++ b/src/coordination/groups/create_member.ts
@@ -1,4 +1,4 @@
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {HostView} from './host_view';
 
 /**
@@ -7,9 +7,7 @@
  * @example
  * const members = taken.map(createMember);
  */
-export function createMember({
-  report,
-}: HostView): ReplicaGroup['members'][number] {
+export function createMember({report}: HostView): Group['members'][number] {
   const {hostId, incarnation, address} = report;
   return {hostId, incarnation, address};
 }
--- a/src/coordination/groups/free_hosts.ts
+++ b/src/coordination/groups/free_hosts.ts
@@ -1,5 +1,5 @@
 /** Hosts that may join a group, given out one by one while a plan is made. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {computeProbation} from './compute_probation';
 import {GroupPlanInput} from './group_plan_input';
 import {hostLoss} from './host_loss';
@@ -7,7 +7,7 @@
 
 /** What a host is wanted for. */
 interface Want {
-  readonly kind: ReplicaGroup['kind'];
+  readonly kind: Group['kind'];
   readonly name: string;
   readonly domain: string;
   /** The group that may also take back hosts that it still names. */
--- a/src/coordination/groups/group_action.ts
+++ b/src/coordination/groups/group_action.ts
@@ -1,12 +1,8 @@
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 
 /** A change of groups that the planner wants committed. */
 export type GroupAction =
-  | {
-      readonly type: 'set-group';
-      readonly group: ReplicaGroup;
-      readonly reason: string;
-    }
+  | {readonly type: 'set-group'; readonly group: Group; readonly reason: string}
   | {
       readonly type: 'drain-group' | 'remove-group';
       readonly groupId: string;
--- a/src/coordination/groups/group_lease.ts
+++ b/src/coordination/groups/group_lease.ts
@@ -1,5 +1,5 @@
 /** The first member's right to serve: a fresh heartbeat from every other member. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {HEARTBEAT_LEASE_MS} from './heartbeat_lease_ms';
 
 /** Tracks the heartbeats of one group under one epoch. */
@@ -10,7 +10,7 @@
   private readonly heardAt = new Map<string, number>();
 
   private constructor(
-    readonly group: ReplicaGroup,
+    readonly group: Group,
     private readonly hostId: string,
     private readonly startedAt: number,
     private readonly leaseMs: number,
@@ -25,7 +25,7 @@
    * const lease = GroupLease.create(group, 'h1', clock.now());
    */
   static create(
-    group: ReplicaGroup,
+    group: Group,
     hostId: string,
     now: number,
     leaseMs = HEARTBEAT_LEASE_MS,
@@ -34,7 +34,7 @@
   }
 
   /** Members whose heartbeats are needed. */
-  get others(): ReplicaGroup['members'] {
+  get others(): Group['members'] {
     return this.group.members.filter(member => member.hostId !== this.hostId);
   }
 
--- a/src/coordination/groups/host_loss.ts
+++ b/src/coordination/groups/host_loss.ts
@@ -1,4 +1,4 @@
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {HostView} from './host_view';
 
 /** Silence after which a host counts as lost; several report intervals. */
@@ -21,7 +21,7 @@
 
   /** Whether and how a member was lost; undefined for one that is well. */
   find(
-    member: ReplicaGroup['members'][number],
+    member: Group['members'][number],
     host: HostView | undefined,
     now: number,
   ): Loss | undefined {
--- a/src/coordination/groups/membership.ts
+++ b/src/coordination/groups/membership.ts
@@ -1,5 +1,5 @@
 /** A host's own part in its group: which one it belongs to, and what it may answer for. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {HEARTBEAT_LEASE_MS} from './heartbeat_lease_ms';
 
 /** A process, told apart from its earlier lives. */
@@ -22,7 +22,7 @@
  * old first member itself shows that it left.
  */
 export class Membership {
-  private currentGroup: ReplicaGroup | null = null;
+  private currentGroup: Group | null = null;
   private boundTo: Assignment | null = null;
   private boundUntil = -Infinity;
   private answeredTo: ProcessName | undefined;
@@ -40,12 +40,12 @@
   }
 
   /** The group that control last named; null for none. */
-  get group(): ReplicaGroup | null {
+  get group(): Group | null {
     return this.currentGroup;
   }
 
   /** Takes over what control says. True when the group or its epoch changed. */
-  assign(group: ReplicaGroup | null): boolean {
+  assign(group: Group | null): boolean {
     const before = this.currentGroup;
     const isSame = before?.id === group?.id && before?.epoch === group?.epoch;
     this.currentGroup = group;
--- a/src/coordination/groups/plan_formation.ts
+++ b/src/coordination/groups/plan_formation.ts
@@ -1,5 +1,5 @@
 /** Forms the groups that a bundle asks for and that are not there. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {createMember} from './create_member';
 import {GroupAction} from './group_action';
 import {PlanContext} from './plan_context';
@@ -35,7 +35,7 @@
     }
     const id = findFreeId(demand.name, usedIds);
     usedIds.add(id);
-    const group: ReplicaGroup = {
+    const group: Group = {
       id,
       epoch: input.findEpoch(id) + 1,
       // Set when the group is committed.
--- a/src/coordination/groups/plan_groups.ts
+++ b/src/coordination/groups/plan_groups.ts
@@ -1,5 +1,5 @@
 /** Decides which groups to form, repair, drain and remove. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {FreeHosts} from './free_hosts';
 import {GroupAction} from './group_action';
 import {GroupPlanInput} from './group_plan_input';
@@ -10,7 +10,7 @@
 import {planFormation} from './plan_formation';
 import {planRepair} from './plan_repair';
 
-type Member = ReplicaGroup['members'][number];
+type Member = Group['members'][number];
 
 /**
  * Plans the next changes; a pure function of what is known now. Repairs get
@@ -26,8 +26,7 @@
   const lost = new Map(
     input.groups.map(group => [group.id, listLost(group, hosts, input.now)]),
   );
-  const isBroken = (group: ReplicaGroup) =>
-    (lost.get(group.id) ?? []).length > 0;
+  const isBroken = (group: Group) => (lost.get(group.id) ?? []).length > 0;
   const broken = input.groups.filter(isBroken);
   const context: PlanContext = {
     input,
@@ -36,7 +35,7 @@
     demands,
     brokenIds: new Set(broken.map(group => group.id)),
   };
-  const findRank = (group: ReplicaGroup) =>
+  const findRank = (group: Group) =>
     demands.findIndex(demand => demand.name === group.name);
   const repairs = [...broken]
     .sort((left, right) => findRank(left) - findRank(right))
@@ -56,7 +55,7 @@
  * while control hears them, is itself the one that is cut off.
  */
 function listLost(
-  group: ReplicaGroup,
+  group: Group,
   hosts: ReadonlyMap<string, HostView>,
   now: number,
 ): Member[] {
@@ -75,7 +74,7 @@
 }
 
 function planBroken(
-  group: ReplicaGroup,
+  group: Group,
   lost: readonly Member[],
   context: PlanContext,
 ): GroupAction | undefined {
@@ -88,7 +87,7 @@
 }
 
 function planWhole(
-  group: ReplicaGroup,
+  group: Group,
   context: PlanContext,
 ): GroupAction | undefined {
   const target = {groupId: group.id, epoch: group.epoch};
@@ -106,7 +105,7 @@
 }
 
 function findDrainReason(
-  group: ReplicaGroup,
+  group: Group,
   {input, hosts, demands}: PlanContext,
 ): string | undefined {
   const demand = demands.find(
--- a/src/coordination/groups/plan_repair.ts
+++ b/src/coordination/groups/plan_repair.ts
@@ -1,5 +1,5 @@
 /** Decides what to do about a group that lost members. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {BrokenGroup} from './broken_group';
 import {createMember} from './create_member';
 import {GroupAction} from './group_action';
@@ -13,9 +13,9 @@
 /** A member that comes back empty, or hosts of a service, need about this long. */
 const REJOIN_MS = 1_000;
 
-type Member = ReplicaGroup['members'][number];
+type Member = Group['members'][number];
 type Plan = (
-  group: ReplicaGroup,
+  group: Group,
   lost: readonly Member[],
   context: PlanContext,
 ) => GroupAction | undefined;
@@ -28,7 +28,7 @@
  * const action = planRepair(group, lostMembers, context);
  */
 export function planRepair(
-  group: ReplicaGroup,
+  group: Group,
   lost: readonly Member[],
   context: PlanContext,
 ): GroupAction | undefined {
@@ -82,7 +82,7 @@
 };
 
 function describeBrokenGroup(
-  group: ReplicaGroup,
+  group: Group,
   lost: readonly Member[],
   demand: ReplicaDemand,
   context: PlanContext,
@@ -138,7 +138,7 @@
 
 /** Every member is well, but the group does not serve yet: it is loading. */
 function isStarting(
-  group: ReplicaGroup,
+  group: Group,
   hosts: PlanContext['input']['hosts'],
 ): boolean {
   const first = hosts.find(
@@ -149,10 +149,10 @@
 
 /** The group of lowest worth in the domain, if it is below this one's and nothing drains yet. */
 function findDonor(
-  group: ReplicaGroup,
+  group: Group,
   {input, demands, brokenIds}: PlanContext,
-): ReplicaGroup | undefined {
-  const findWorth = (candidate: ReplicaGroup) =>
+): Group | undefined {
+  const findWorth = (candidate: Group) =>
     demands.find(
       wanted => wanted.kind === 'model' && wanted.name === candidate.name,
     )?.worth ?? 0;
@@ -173,10 +173,7 @@
 }
 
 /** Another broken group of the domain could take them, or a replica is missing. */
-function hasUseForSurvivors(
-  group: ReplicaGroup,
-  context: PlanContext,
-): boolean {
+function hasUseForSurvivors(group: Group, context: PlanContext): boolean {
   const {input, brokenIds, demands, free} = context;
   const isNeighbourBroken = input.groups.some(
     other =>
@@ -203,7 +200,7 @@
   return isNeighbourBroken || isReplicaMissing;
 }
 
-function createRemoval(group: ReplicaGroup, reason: string): GroupAction {
+function createRemoval(group: Group, reason: string): GroupAction {
   return {type: 'remove-group', groupId: group.id, epoch: group.epoch, reason};
 }
 
--- a/src/coordination/groups/plan_standby.ts
+++ b/src/coordination/groups/plan_standby.ts
@@ -1,5 +1,5 @@
 /** Decides what free hosts load in advance, so that a repair need not wait for the weight store. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {GroupPlanInput} from './group_plan_input';
 import {HostView} from './host_view';
 import {listDemands} from './list_demands';
@@ -36,9 +36,7 @@
     const worth =
       listDemands(input.bundle).find(demand => demand.name === name)?.worth ??
       0;
-    return (
-      worth * groups.filter((group: ReplicaGroup) => group.name === name).length
-    );
+    return worth * groups.filter((group: Group) => group.name === name).length;
   };
   const names = [...new Set(groups.map(group => group.name))];
   return names.sort((left, right) => worthOf(right) - worthOf(left))[0];
--- a/src/coordination/groups/replica_demand.ts
+++ b/src/coordination/groups/replica_demand.ts
@@ -1,8 +1,8 @@
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 
 /** One kind of replica that the bundle asks for. */
 export interface ReplicaDemand {
-  readonly kind: ReplicaGroup['kind'];
+  readonly kind: Group['kind'];
   readonly name: string;
   readonly replicas: number;
   readonly hostsPerReplica: number;
--- a/src/coordination/requests/check_dispatch.ts
+++ b/src/coordination/requests/check_dispatch.ts
@@ -1,5 +1,5 @@
 /** Decides whether a host process may start what an entry sent. */
-import {ReplicaGroup} from '../../protocol/replica_group';
+import {Group} from '../../protocol/group';
 import {MessageOf} from '../../protocol/message_of';
 import {RequestMessage} from '../../protocol/request_message';
 
@@ -8,7 +8,7 @@
   readonly hostId: string;
   readonly incarnation: string;
   /** The group that this host belongs to. */
-  readonly group: ReplicaGroup | undefined;
+  readonly group: Group | undefined;
   /** Members without a fresh heartbeat. */
   readonly missing: readonly string[];
   /** Control confirmed the bundle lately enough. */
--- a/src/entry/once_only.ts
+++ b/src/entry/once_only.ts
@@ -2,7 +2,7 @@
 import {ClaimVerdict} from '../protocol/claim_verdict';
 import {ControlClient} from '../protocol/control_client';
 import {computeDigest} from '../protocol/compute_digest';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {RequestOutcome} from '../protocol/request_outcome';
 import {CallerRequest} from './caller_request';
 import {HostLinks} from './host_links';
@@ -21,7 +21,7 @@
 /** Which attempt a claim is for, and where it would run. */
 interface ClaimTarget {
   readonly attemptId: string;
-  readonly group: ReplicaGroup;
+  readonly group: Group;
   /** Incarnation of the first member's process. */
   readonly incarnation: string;
 }
--- a/src/entry/request_runner.ts
+++ b/src/entry/request_runner.ts
@@ -3,7 +3,7 @@
 import {chooseReplica} from '../coordination/requests/choose_replica';
 import {decideRetry} from '../coordination/requests/decide_retry';
 import {RetryBudget} from '../coordination/requests/retry_budget';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {RequestOutcome} from '../protocol/request_outcome';
 import {AttemptEvents} from './attempt_events';
 import {CallerRequest} from './caller_request';
@@ -33,7 +33,7 @@
 
 interface Candidate {
   readonly groupId: string;
-  readonly group: ReplicaGroup;
+  readonly group: Group;
   readonly link: HostLink;
   readonly running: number;
 }
--- a/src/entry/route_table.ts
+++ b/src/entry/route_table.ts
@@ -4,7 +4,7 @@
 import {Bundle} from '../protocol/bundle';
 import {ControlClient} from '../protocol/control_client';
 import {ControlMessage} from '../protocol/control_message';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {MessageOf} from '../protocol/message_of';
 
 /** Control holds a question that has no news, so this pause only bounds the rate of changes. */
@@ -17,14 +17,14 @@
   readonly entryId: string;
   readonly client: ControlClient;
   readonly clock: Clock;
-  readonly onGroups: (groups: readonly ReplicaGroup[]) => void;
+  readonly onGroups: (groups: readonly Group[]) => void;
   readonly onBundle: (bundle: Bundle) => void;
 }
 
 /** Asks control again and again; old while control does not answer. */
 export class RouteTable {
   private currentBundle: Bundle | undefined;
-  private currentGroups: readonly ReplicaGroup[] = [];
+  private currentGroups: readonly Group[] = [];
   private tableVersion = 0;
   private readonly lease = BundleLease.create();
   private entryCount = 1;
@@ -50,7 +50,7 @@
     return this.currentBundle;
   }
 
-  get groups(): readonly ReplicaGroup[] {
+  get groups(): readonly Group[] {
     return this.currentGroups;
   }
 
--- a/src/host/engine_orders.ts
+++ b/src/host/engine_orders.ts
@@ -1,5 +1,5 @@
 /** Orders to the engine beside this host: which group and epoch it works for. */
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {BackendHttpClient} from '../transport/backend_http_client';
 
 const ORDER_TIMEOUT_MS = 2_000;
@@ -19,7 +19,7 @@
  * never see two orders at once, so a new one waits for the end of the old.
  */
 export class EngineOrders {
-  private wanted: ReplicaGroup | null = null;
+  private wanted: Group | null = null;
   private standby: string | null = null;
   private loadedInAdvance: string | undefined;
   private accepted: {groupId: string; epoch: number; url: string} | undefined;
@@ -39,7 +39,7 @@
   }
 
   /** Wants the engine to work for this group, or for none. */
-  setWanted(group: ReplicaGroup | null): void {
+  setWanted(group: Group | null): void {
     this.wanted = group;
     void this.orderUntilDone();
   }
@@ -54,7 +54,7 @@
   }
 
   /** True once the engine took the order for this group and epoch. */
-  isInForce(group: ReplicaGroup): boolean {
+  isInForce(group: Group): boolean {
     const {accepted} = this;
     return (
       accepted?.groupId === group.id &&
@@ -111,7 +111,7 @@
     return isDone;
   }
 
-  private async orderGroup(group: ReplicaGroup): Promise<boolean> {
+  private async orderGroup(group: Group): Promise<boolean> {
     const {hostId, findUrl} = this.options;
     const url = findUrl();
     if (!url) {
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -3,7 +3,7 @@
 import {GroupLease} from '../coordination/groups/group_lease';
 import {HEARTBEAT_LEASE_MS} from '../coordination/groups/heartbeat_lease_ms';
 import {Membership} from '../coordination/groups/membership';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {HostReport} from '../protocol/host_report';
 import {MembershipMessage} from '../protocol/membership_message';
 import {MessageOf} from '../protocol/message_of';
@@ -56,7 +56,7 @@
   }
 
   /** The group that control last named. */
-  get group(): ReplicaGroup | null {
+  get group(): Group | null {
     return this.membership.group;
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Takes over what control says; true when the group or its epoch changed. */
-  assign(group: ReplicaGroup | null): boolean {
+  assign(group: Group | null): boolean {
     if (!this.membership.assign(group)) {
       return false;
     }
@@ -164,7 +164,7 @@
     return now - this.wokeAt < HEARTBEAT_LEASE_MS;
   }
 
-  private startLease(group: ReplicaGroup): void {
+  private startLease(group: Group): void {
     const {hostId, identity, leaseClock, security} = this.options;
     this.lease = GroupLease.create(group, hostId, leaseClock.now());
     this.asker = HeartbeatAsker.create({
--- a/src/host/heartbeat_asker.ts
+++ b/src/host/heartbeat_asker.ts
@@ -2,7 +2,7 @@
 import {Clock} from '../common/clock';
 import {GroupLease} from '../coordination/groups/group_lease';
 import {connectPeer} from '../protocol/connect_peer';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {MembershipMessage} from '../protocol/membership_message';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
@@ -12,7 +12,7 @@
 
 /** What the asker works on. */
 interface HeartbeatAskerOptions {
-  readonly group: ReplicaGroup;
+  readonly group: Group;
   readonly lease: GroupLease;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -9,7 +9,7 @@
 import {Bundle} from '../protocol/bundle';
 import {ControlClient} from '../protocol/control_client';
 import {ControlMessage} from '../protocol/control_message';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {HostReport} from '../protocol/host_report';
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
@@ -222,7 +222,7 @@
     }
   }
 
-  private assignGroup(group: ReplicaGroup | null): void {
+  private assignGroup(group: Group | null): void {
     if (!this.member.assign(group)) {
       return;
     }
--- a/src/protocol/control_command.ts
+++ b/src/protocol/control_command.ts
@@ -3,7 +3,7 @@
 import {ChannelBundle} from './channel_bundle';
 import {CrashReport} from './crash_report';
 import {EngineGroup} from './engine_group';
-import {ReplicaGroup} from './replica_group';
+import {Group} from './group';
 import {RequestOutcome} from './request_outcome';
 import {SignedBundle} from './signed_bundle';
 
@@ -73,7 +73,7 @@
   z.object({
     type: z.literal('set-group'),
     time: Time,
-    group: ReplicaGroup,
+    group: Group,
     reason: z.string(),
   }),
   z.object({
--- a/src/protocol/control_message.ts
+++ b/src/protocol/control_message.ts
@@ -5,7 +5,7 @@
 import {ClaimVerdict} from './claim_verdict';
 import {CrashReport} from './crash_report';
 import {GatewayTarget} from './gateway_target';
-import {ReplicaGroup} from './replica_group';
+import {Group} from './group';
 import {HostReport} from './host_report';
 import {RateLimitReport} from './rate_limit_report';
 import {ModelDemand} from './model_demand';
@@ -28,7 +28,7 @@
     /** Present when the asker reported another version. */
     bundle: SignedBundle.optional(),
     /** Null for none; absent when it is as the asker was told before. */
-    group: ReplicaGroup.nullable().optional(),
+    group: Group.nullable().optional(),
     /** The model that an engine without a group should load in advance. */
     standby: z.string().nullable(),
   }),
@@ -47,7 +47,7 @@
     bundleVersion: z.int(),
     bundle: SignedBundle.optional(),
     tableVersion: z.int(),
-    groups: z.array(ReplicaGroup).optional(),
+    groups: z.array(Group).optional(),
     entries: z.int().positive(),
   }),
   z.object({
--- a/src/protocol/fleet_status.ts
+++ b/src/protocol/fleet_status.ts
@@ -1,5 +1,5 @@
 import {z} from 'zod';
-import {ReplicaGroup} from './replica_group';
+import {Group} from './group';
 
 /** What `whinreel status` shows. */
 export const FleetStatus = z.object({
@@ -25,7 +25,7 @@
     of: z.int(),
   }),
   groups: z.array(
-    ReplicaGroup.extend({
+    Group.extend({
       isServing: z.boolean(),
       running: z.int(),
       missing: z.array(z.string()),
--- a/src/protocol/replica_group.ts
+++ b/src/protocol/group.ts
@@ -11,7 +11,7 @@
  * groups say nothing about each other, so engines, which move between groups,
  * are fenced by another number. The first member admits work.
  */
-export const ReplicaGroup = z.object({
+export const Group = z.object({
   id: z.string().max(128),
   epoch: z.int().positive(),
   /** The number that orders to engines carry: the place in the log that set the group. */
@@ -24,4 +24,4 @@
   members: z.array(GroupMember).min(1),
   isDraining: z.boolean(),
 });
-export type ReplicaGroup = z.infer<typeof ReplicaGroup>;
+export type Group = z.infer<typeof Group>;
--- a/src/state/group_table.ts
+++ b/src/state/group_table.ts
@@ -1,10 +1,10 @@
 /** Replica groups: who belongs to which, under which epoch. */
 import {z} from 'zod';
-import {ReplicaGroup} from '../protocol/replica_group';
+import {Group} from '../protocol/group';
 import {CommandResult} from './command_result';
 
 const Snapshot = z.object({
-  groups: z.array(ReplicaGroup),
+  groups: z.array(Group),
   /** The last epoch of every group that ever was; epochs are never used again. */
   epochs: z.record(z.string(), z.int()),
   version: z.int(),
@@ -12,7 +12,7 @@
 
 /** Holds each host in one group at most. */
 export class GroupTable {
-  private readonly groups: Map<string, ReplicaGroup>;
+  private readonly groups: Map<string, Group>;
   private readonly epochs: Map<string, number>;
   private readonly groupOfHost = new Map<string, string>();
 
@@ -43,16 +43,16 @@
     return this.changeCount;
   }
 
-  list(): ReplicaGroup[] {
+  list(): Group[] {
     return [...this.groups.values()];
   }
 
-  find(groupId: string): ReplicaGroup | undefined {
+  find(groupId: string): Group | undefined {
     return this.groups.get(groupId);
   }
 
   /** The group that a host belongs to. */
-  findByHost(hostId: string): ReplicaGroup | undefined {
+  findByHost(hostId: string): Group | undefined {
     return this.groups.get(this.groupOfHost.get(hostId) ?? '');
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Sets a group under its next epoch. */
-  set(group: ReplicaGroup): CommandResult {
+  set(group: Group): CommandResult {
     const expected = this.findEpoch(group.id) + 1;
     if (group.epoch !== expected) {
       return {
@@ -124,7 +124,7 @@
     return owner !== undefined && owner !== groupId;
   }
 
-  private indexMembers(group: ReplicaGroup): void {
+  private indexMembers(group: Group): void {
     group.members.forEach(member =>
       this.groupOfHost.set(member.hostId, group.id),
     );
--- a/test/coordination/check_dispatch.test.ts
+++ b/test/coordination/check_dispatch.test.ts
@@ -1,9 +1,9 @@
 import {describe, expect, test} from 'vitest';
 import {checkDispatch} from '../../src/coordination/requests/check_dispatch';
 import {DispatchLedger} from '../../src/coordination/requests/dispatch_ledger';
-import {ReplicaGroup} from '../../src/protocol/replica_group';
+import {Group} from '../../src/protocol/group';
 
-const group: ReplicaGroup = {
+const group: Group = {
   id: 'g',
   epoch: 4,
   fencing: 1,
--- a/test/coordination/membership.test.ts
+++ b/test/coordination/membership.test.ts
@@ -3,17 +3,13 @@
 import {GroupLease} from '../../src/coordination/groups/group_lease';
 import {HEARTBEAT_LEASE_MS} from '../../src/coordination/groups/heartbeat_lease_ms';
 import {Membership} from '../../src/coordination/groups/membership';
-import {ReplicaGroup} from '../../src/protocol/replica_group';
+import {Group} from '../../src/protocol/group';
 import {GroupTable} from '../../src/state/group_table';
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4'];
 const RUNS = 1_000;
 
-function createGroup(
-  id: string,
-  epoch: number,
-  members: string[],
-): ReplicaGroup {
+function createGroup(id: string, epoch: number, members: string[]): Group {
   return {
     id,
     epoch,
@@ -46,7 +42,7 @@
     this.lease = undefined;
   }
 
-  assign(group: ReplicaGroup | null): void {
+  assign(group: Group | null): void {
     if (this.membership.assign(group)) {
       const isFirst = group?.members[0].hostId === this.hostId;
       this.lease =
--- a/test/coordination/plan_groups.test.ts
+++ b/test/coordination/plan_groups.test.ts
@@ -5,7 +5,7 @@
 import {planGroups} from '../../src/coordination/groups/plan_groups';
 import {planStandby} from '../../src/coordination/groups/plan_standby';
 import {Bundle} from '../../src/protocol/bundle';
-import {ReplicaGroup} from '../../src/protocol/replica_group';
+import {Group} from '../../src/protocol/group';
 
 const NOW = 1_000_000;
 
@@ -24,7 +24,7 @@
 function createHost(
   hostId: string,
   changes: Partial<HostView> = {},
-  group?: ReplicaGroup,
+  group?: Group,
 ): HostView {
   const isFirst = group?.members[0].hostId === hostId;
   return {
@@ -56,7 +56,7 @@
   name = 'assistant',
   ids = ['h1', 'h2', 'h3'],
   domain = 'd1',
-): ReplicaGroup {
+): Group {
   const members = ids.map(hostId => ({
     hostId,
     incarnation: 'i',
@@ -74,7 +74,7 @@
 }
 
 function plan(
-  groups: readonly ReplicaGroup[],
+  groups: readonly Group[],
   hosts: readonly HostView[],
   bundle = createBundle(1),
 ) {
--- a/test/entry/request_runner.test.ts
+++ b/test/entry/request_runner.test.ts
@@ -9,7 +9,7 @@
 import {RequestRunner} from '../../src/entry/request_runner';
 import {RouteTable} from '../../src/entry/route_table';
 import {ControlClient} from '../../src/protocol/control_client';
-import {ReplicaGroup} from '../../src/protocol/replica_group';
+import {Group} from '../../src/protocol/group';
 import {RequestMessage} from '../../src/protocol/request_message';
 import {call} from '../support/caller';
 import {FakeHost} from '../support/fake_host';
@@ -25,7 +25,7 @@
   }
 });
 
-function createGroup(id: string, address: string): ReplicaGroup {
+function createGroup(id: string, address: string): Group {
   const members = [{hostId: id, incarnation: 'fake', address}];
   const place = {kind: 'model', name: 'm', domain: 'd', zone: 'z'} as const;
   return {id, epoch: 1, fencing: 1, ...place, members, isDraining: false};
