--- a/src/protocol/control_calls.ts
+++ b/src/protocol/control_calls.ts
@@ -1,7 +1,7 @@
 import {ControlMessage} from './control_message';
 import {MessageOf} from './message_of';
 
-/** Answer types by the type of the call. */
+/** The type of the answer to each type of call. */
 interface Answers {
   'host-report': 'host-directive';
   'entry-report': 'entry-directive';
@@ -24,11 +24,11 @@
   'lift-ask': 'lift-answer';
   'leader-ask': 'leader-answer';
 }
-type WithoutCall<T> = T extends unknown ? Omit<T, 'call'> : never;
+type WithoutCallId<T> = T extends unknown ? Omit<T, 'call'> : never;
 
-/** The calls that control answers: their types, questions and answers. */
+/** Type map of the calls that the control leader answers. */
 export interface ControlCalls {
   readonly type: keyof Answers;
-  readonly request: WithoutCall<MessageOf<ControlMessage, keyof Answers>>;
+  readonly request: WithoutCallId<MessageOf<ControlMessage, keyof Answers>>;
   readonly answers: Answers;
 }
--- a/src/protocol/control_client.ts
+++ b/src/protocol/control_client.ts
@@ -1,4 +1,4 @@
-/** Finds the control leader and asks it. */
+/** Client of the control processes: sends each call to the current leader. */
 import {TlsCredentials} from '../transport/tls_credentials';
 import {ControlCalls} from './control_calls';
 import {ControlConnectionPool} from './control_connection_pool';
@@ -13,7 +13,7 @@
 
 type Answers = ControlCalls['answers'];
 
-/** How the leader was found, or not. */
+/** The result of a search for the leader. */
 interface SearchReport {
   readonly ask: ControlCalls['type'];
   readonly tookMs: number;
@@ -21,37 +21,37 @@
   readonly tries: LeaderFinder['tries'];
 }
 
-/** How to reach control and who asks. */
+/** How to reach the control processes, and the identity of this client. */
 interface ControlClientOptions {
-  /** Where control processes are; a function where they may change. */
+  /** Addresses of the control processes; a function where they may change. */
   readonly addresses: readonly string[] | (() => readonly string[]);
-  /** How long the leader may take to answer before it is searched for anew beside it, in milliseconds. */
+  /** Milliseconds without an answer after which the leader is searched for again, in parallel to the pending request. */
   readonly hedgeDelayMs?: number;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly security?: TlsCredentials;
-  /** Told of each call that had to search, or found no leader. */
+  /** Receives a report on each call that had to search, or found no leader. */
   readonly onSearched?: (search: SearchReport) => void;
 }
 
 /**
- * Asks the leader, staying with it while it answers. Where control processes are
- * named by their addresses, one that does not lead tells where the others are.
+ * Calls the leader and keeps using it while it answers. Where control processes are
+ * named by their addresses, a follower reports the addresses of the others.
  */
 export class ControlClient {
-  private readonly lines: ControlConnectionPool;
+  private readonly connections: ControlConnectionPool;
   private readonly finder: LeaderFinder;
   private readonly calls = new Set<LeaderCall>();
-  /** Addresses told by processes that do not lead. */
-  private hints: readonly string[] = [];
+  /** Addresses that followers reported. */
+  private reportedAddresses: readonly string[] = [];
   private isClosed = false;
 
   private constructor(private readonly options: ControlClientOptions) {
     const {identity, security} = options;
-    this.lines = ControlConnectionPool.create({identity, security});
+    this.connections = ControlConnectionPool.create({identity, security});
     this.finder = LeaderFinder.create({
-      connections: this.lines,
+      connections: this.connections,
       listAddresses: () => this.listAddresses(),
-      onRedirect: hints => this.recordHints(hints),
+      onRedirect: reported => this.recordAddresses(reported),
     });
   }
 
@@ -67,28 +67,28 @@
   }
 
   /**
-   * Asks until the leader answers or the time runs out. The call may reach
-   * control more than once, so every call is idempotent there.
+   * Sends a call until the leader answers or the timeout expires. It may arrive
+   * more than once, so every call is idempotent at control.
    *
-   * @param timeoutMs milliseconds in all
+   * @param timeoutMs milliseconds for the whole call
    * @throws ProtocolError when no leader answered in time
    */
   async ask<T extends ControlCalls['type']>(
-    question: ControlCalls['request'] & {type: T},
+    request: ControlCalls['request'] & {type: T},
     timeoutMs = DEFAULT_TIMEOUT_MS,
   ): Promise<MessageOf<ControlMessage, Answers[T]>> {
     if (this.isClosed) {
       throw new ProtocolError('this client is closed');
     }
     const startedAt = performance.now();
-    const hadLeader = this.lines.leader !== undefined;
+    const hadLeader = this.connections.leader !== undefined;
     const call = LeaderCall.create({
-      request: question,
-      connections: this.lines,
+      request,
+      connections: this.connections,
       finder: this.finder,
       timeoutMs,
       hedgeDelayMs: this.options.hedgeDelayMs ?? DEFAULT_TIMEOUT_MS,
-      onRedirect: hints => this.recordHints(hints),
+      onRedirect: reported => this.recordAddresses(reported),
     });
     this.calls.add(call);
     let isAnswered = false;
@@ -99,29 +99,30 @@
     } finally {
       this.calls.delete(call);
       if (!hadLeader || !isAnswered) {
-        this.report(question.type, isAnswered, startedAt);
+        this.report(request.type, isAnswered, startedAt);
       }
     }
   }
 
-  /** Closes the connections and gives up what is pending. */
+  /** Closes the connections and fails the pending calls. */
   close(): void {
     this.isClosed = true;
     this.calls.forEach(call => call.abandon('this client is closed'));
     this.finder.stop();
-    this.lines.close();
+    this.connections.close();
   }
 
-  /** Those that were told, then those that were always known. */
+  /** The reported addresses, then the configured ones. */
   private listAddresses(): readonly string[] {
     const {addresses} = this.options;
-    const known = typeof addresses === 'function' ? addresses() : addresses;
-    return [...new Set([...this.hints, ...known])];
+    const configured =
+      typeof addresses === 'function' ? addresses() : addresses;
+    return [...new Set([...this.reportedAddresses, ...configured])];
   }
 
-  private recordHints(hints: readonly string[]): void {
-    if (hints.length > 0) {
-      this.hints = hints;
+  private recordAddresses(reported: readonly string[]): void {
+    if (reported.length > 0) {
+      this.reportedAddresses = reported;
     }
   }
 
--- a/src/protocol/control_connection.ts
+++ b/src/protocol/control_connection.ts
@@ -1,4 +1,4 @@
-/** A connection to one control process, and the calls that wait for its answers. */
+/** A connection to one control process that matches answers to the pending calls. */
 import {TlsCredentials} from '../transport/tls_credentials';
 import {connectPeer} from './connect_peer';
 import {ControlCalls} from './control_calls';
@@ -6,37 +6,37 @@
 import {Message} from './message';
 import {Peer} from './peer';
 
-/** How to connect. */
-interface ControlLineOptions {
+/** Where to connect and as whom. */
+interface ControlConnectionOptions {
   readonly address: string;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly security?: TlsCredentials;
 }
 
-/** Connects at once; calls wait until the other side has greeted. */
+/** Connects on creation; calls can be sent once `ready` has settled. */
 export class ControlConnection {
-  /** Settles when the other side has greeted; rejects when it cannot be reached. */
+  /** Resolves after the handshake; rejects when the process cannot be reached. */
   readonly ready: Promise<unknown>;
-  /** Searches that use this line now. */
+  /** Number of calls and searches that use this connection; the pool closes it at 0. */
   refCount = 0;
   private peer: Peer | undefined;
-  private lastCall = 0;
+  private lastCallId = 0;
   private isClosed = false;
   private readonly pending = new Map<
     number,
     (answer: ControlMessage | undefined) => void
   >();
 
-  private constructor(private readonly options: ControlLineOptions) {
+  private constructor(private readonly options: ControlConnectionOptions) {
     const {address, identity, security} = options;
     this.ready = connectPeer(address, identity, security).then(
-      peer => this.follow(peer),
+      peer => this.handleConnected(peer),
       error => {
         this.close();
         throw error;
       },
     );
-    // Whoever waits hears of the failure; nobody may wait any more.
+    // Callers that await `ready` see the error; without one it would be an unhandled rejection.
     this.ready.catch(() => undefined);
   }
 
@@ -44,11 +44,11 @@
    * Starts connecting.
    *
    * @example
-   * const line = ControlLine.create({address: '127.0.0.1:7000', identity});
-   * await line.greeted;
-   * const answer = await line.ask({type: 'status-ask'});
+   * const connection = ControlConnection.create({address: '127.0.0.1:7000', identity});
+   * await connection.ready;
+   * const answer = await connection.call({type: 'status-ask'});
    */
-  static create(options: ControlLineOptions): ControlConnection {
+  static create(options: ControlConnectionOptions): ControlConnection {
     return new ControlConnection(options);
   }
 
@@ -56,34 +56,34 @@
     return this.options.address;
   }
 
-  /** False once the connection is gone. */
+  /** False once the connection is closed. */
   get isUsable(): boolean {
     return !this.isClosed;
   }
 
-  /** Asks over a greeted connection; undefined when the connection ends first. */
-  call(question: ControlCalls['request']): Promise<ControlMessage | undefined> {
+  /** Sends a call after the handshake; resolves to undefined when the connection closes first. */
+  call(request: ControlCalls['request']): Promise<ControlMessage | undefined> {
     const {peer} = this;
     if (!peer || this.isClosed) {
       return Promise.resolve(undefined);
     }
-    const call = ++this.lastCall;
+    const callId = ++this.lastCallId;
     return new Promise(resolve => {
-      this.pending.set(call, resolve);
-      peer.send({...question, call} as Message);
+      this.pending.set(callId, resolve);
+      peer.send({...request, call: callId} as Message);
     });
   }
 
-  /** Ends the connection and every call that waits. */
+  /** Closes the connection and resolves every pending call to undefined. */
   close(): void {
     this.isClosed = true;
     this.peer?.close();
-    const waiting = [...this.pending.values()];
+    const resolvers = [...this.pending.values()];
     this.pending.clear();
-    waiting.forEach(finish => finish(undefined));
+    resolvers.forEach(resolve => resolve(undefined));
   }
 
-  private follow(peer: Peer): void {
+  private handleConnected(peer: Peer): void {
     this.peer = peer;
     if (this.isClosed) {
       peer.close();
@@ -95,9 +95,9 @@
 
   private receive(message: Message): void {
     if ('call' in message) {
-      const finish = this.pending.get(message.call);
+      const resolve = this.pending.get(message.call);
       this.pending.delete(message.call);
-      finish?.(message as ControlMessage);
+      resolve?.(message as ControlMessage);
     }
   }
 }
--- a/src/protocol/control_connection_pool.ts
+++ b/src/protocol/control_connection_pool.ts
@@ -1,95 +1,99 @@
-/** The connections of one client to control processes: one to each, shared by its calls. */
+/** Pools the connections of one client to control processes: one for each address, shared by its calls. */
 import {ControlConnection} from './control_connection';
 
-type LineOptions = Omit<
+type ConnectionOptions = Omit<
   Parameters<typeof ControlConnection.create>[0],
   'address'
 >;
 
-/** Opens lines when they are asked for; keeps the one to the leader. */
+/** Opens connections on demand, counts their references and keeps the one to the leader open. */
 export class ControlConnectionPool {
-  private readonly lines = new Map<string, ControlConnection>();
-  private kept: ControlConnection | undefined;
+  private readonly connections = new Map<string, ControlConnection>();
+  private leaderConnection: ControlConnection | undefined;
 
-  private constructor(private readonly options: LineOptions) {}
+  private constructor(private readonly options: ConnectionOptions) {}
 
   /**
-   * Creates an empty set.
+   * Creates an empty pool.
    *
    * @example
-   * const lines = ControlLines.create({identity});
-   * const line = lines.take('127.0.0.1:7000');
-   * lines.release(line);
+   * const pool = ControlConnectionPool.create({identity});
+   * const connection = pool.acquire('127.0.0.1:7000');
+   * pool.release(connection);
    */
-  static create(options: LineOptions): ControlConnectionPool {
+  static create(options: ConnectionOptions): ControlConnectionPool {
     return new ControlConnectionPool(options);
   }
 
-  /** The line to the process that leads, as far as is known. */
+  /** The connection to the last pooled leader, while it is usable. */
   get leader(): ControlConnection | undefined {
-    return this.kept?.isUsable ? this.kept : undefined;
+    return this.leaderConnection?.isUsable ? this.leaderConnection : undefined;
   }
 
-  /** The line to an address, for one more user. */
+  /** Returns the connection to an address, opened if necessary, with one more reference. */
   acquire(address: string): ControlConnection {
-    const known = this.lines.get(address);
-    const line = known?.isUsable
-      ? known
+    const pooled = this.connections.get(address);
+    const connection = pooled?.isUsable
+      ? pooled
       : ControlConnection.create({...this.options, address});
-    this.lines.set(address, line);
-    line.refCount += 1;
-    return line;
+    this.connections.set(address, connection);
+    connection.refCount += 1;
+    return connection;
   }
 
-  /** Keeps a line open for one more user. */
-  retain(line: ControlConnection): void {
-    line.refCount += 1;
+  /** Adds a reference to a connection. */
+  retain(connection: ControlConnection): void {
+    connection.refCount += 1;
   }
 
-  /** Keeps a line whose process leads, also without users. */
-  recordLeader(line: ControlConnection): void {
-    const before = this.kept;
-    this.kept = line;
-    if (before && before !== line) {
-      this.closeUnused(before);
+  /** Keeps the connection to the leader open, also without references. */
+  recordLeader(connection: ControlConnection): void {
+    const previous = this.leaderConnection;
+    this.leaderConnection = connection;
+    if (previous && previous !== connection) {
+      this.closeIfUnused(previous);
     }
   }
 
-  /** Its process does not lead, or its connection has ended. */
-  clearLeader(line: ControlConnection): void {
-    if (this.kept === line) {
-      this.kept = undefined;
-      this.closeUnused(line);
+  /** Forgets a leader that does not lead any more or whose connection has closed. */
+  clearLeader(connection: ControlConnection): void {
+    if (this.leaderConnection === connection) {
+      this.leaderConnection = undefined;
+      this.closeIfUnused(connection);
     }
   }
 
-  /** Opens another connection the next time: this one may have gone silent for good. */
-  evict(line: ControlConnection): void {
-    if (this.lines.get(line.address) === line) {
-      this.lines.delete(line.address);
+  /** Takes a connection out of the pool, so that the next `acquire` opens another: this one may be dead without being closed. */
+  evict(connection: ControlConnection): void {
+    if (this.connections.get(connection.address) === connection) {
+      this.connections.delete(connection.address);
     }
-    if (this.kept === line) {
-      this.kept = undefined;
+    if (this.leaderConnection === connection) {
+      this.leaderConnection = undefined;
     }
   }
 
-  /** Gives a line back. */
-  release(line: ControlConnection): void {
-    line.refCount -= 1;
-    this.closeUnused(line);
+  /** Drops a reference; closes the connection when it was the last. */
+  release(connection: ControlConnection): void {
+    connection.refCount -= 1;
+    this.closeIfUnused(connection);
   }
 
+  /** Closes every connection. */
   close(): void {
-    this.kept = undefined;
-    this.lines.forEach(line => line.close());
-    this.lines.clear();
+    this.leaderConnection = undefined;
+    this.connections.forEach(connection => connection.close());
+    this.connections.clear();
   }
 
-  private closeUnused(line: ControlConnection): void {
-    if (line.refCount > 0 || (line === this.kept && line.isUsable)) {
+  private closeIfUnused(connection: ControlConnection): void {
+    if (
+      connection.refCount > 0 ||
+      (connection === this.leaderConnection && connection.isUsable)
+    ) {
       return;
     }
-    this.evict(line);
-    line.close();
+    this.evict(connection);
+    connection.close();
   }
 }
--- a/src/protocol/leader_call.ts
+++ b/src/protocol/leader_call.ts
@@ -1,4 +1,4 @@
-/** One call: goes to whoever leads, and to the next one that does, until somebody answers. */
+/** A single call to the control leader, retried and hedged until a leader answers. */
 import {ControlCalls} from './control_calls';
 import {ControlConnection} from './control_connection';
 import {ControlConnectionPool} from './control_connection_pool';
@@ -6,37 +6,37 @@
 import {LeaderFinder} from './leader_finder';
 import {ProtocolError} from './protocol_error';
 
-/** Before a leader that did not carry a call out is asked again. */
-const AGAIN_AFTER_MS = 50;
+/** Delay before a call that the process did not carry out is sent again. */
+const RETRY_DELAY_MS = 50;
 
-/** What a call works with. */
+/** The request, its deadline and the collaborators of the call. */
 interface LeaderCallOptions {
   readonly request: ControlCalls['request'];
   readonly connections: ControlConnectionPool;
   readonly finder: LeaderFinder;
   readonly timeoutMs: number;
-  /** How long the leader may take to answer before it is searched for anew, beside it. */
+  /** Time without an answer after which the leader is searched for again, in parallel to the pending request. */
   readonly hedgeDelayMs: number;
-  /** Told where control is by a process that does not lead. */
+  /** Receives the control addresses that a follower reports. */
   readonly onRedirect: (addresses: readonly string[]) => void;
 }
 
-/** Runs once. */
+/** Sends one request to the leader; `run` is called once. */
 export class LeaderCall {
-  private readonly taken: ControlConnection[] = [];
+  private readonly acquired: ControlConnection[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
-  private endWait: () => void = () => undefined;
-  private isOver = false;
-  private finish: (answer: ControlMessage) => void = () => undefined;
-  private fail: (error: Error) => void = () => undefined;
+  private cancelWait: () => void = () => undefined;
+  private isSettled = false;
+  private resolve: (answer: ControlMessage) => void = () => undefined;
+  private reject: (error: Error) => void = () => undefined;
 
   private constructor(private readonly options: LeaderCallOptions) {}
 
   /**
-   * Creates a call that has asked nobody.
+   * Creates a call without sending it.
    *
    * @example
-   * const call = LeaderCall.create({question, lines, finder, timeoutMs: 900, besideMs: 400, onTold});
+   * const call = LeaderCall.create({request, connections, finder, timeoutMs: 900, hedgeDelayMs: 400, onRedirect});
    * const answer = await call.run();
    */
   static create(options: LeaderCallOptions): LeaderCall {
@@ -44,90 +44,87 @@
   }
 
   /**
-   * Asks until somebody answers as leader.
+   * Sends the request until a process answers it as leader.
    *
-   * @throws ProtocolError when nobody did in time
+   * @throws ProtocolError when none did in time
    */
   async run(): Promise<ControlMessage> {
     const answered = new Promise<ControlMessage>((resolve, reject) => {
-      this.finish = resolve;
-      this.fail = reject;
+      this.resolve = resolve;
+      this.reject = reject;
     });
     this.schedule(this.options.timeoutMs, () =>
       this.abandon('no control leader answered in time'),
     );
-    this.askLeader();
+    this.sendToLeader();
     try {
       return await answered;
     } finally {
-      this.isOver = true;
-      this.endWait();
+      this.isSettled = true;
+      this.cancelWait();
       this.timers.forEach(timer => clearTimeout(timer));
-      this.taken.forEach(line => this.options.connections.release(line));
+      this.acquired.forEach(connection =>
+        this.options.connections.release(connection),
+      );
     }
   }
 
-  /** Ends without an answer; the next call asks over other connections, as these may be silent for good. */
+  /** Fails the call and evicts its connections, which may be dead without being closed, so that the next call opens others. */
   abandon(reason: string): void {
-    const {connections: lines, finder} = this.options;
+    const {connections, finder} = this.options;
     const {lastError} = finder;
-    this.taken.forEach(line => lines.evict(line));
-    this.fail(
+    this.acquired.forEach(connection => connections.evict(connection));
+    this.reject(
       lastError
         ? new ProtocolError(lastError, reason)
         : new ProtocolError(reason),
     );
   }
 
-  private askLeader(): void {
-    const {connections: lines, finder} = this.options;
-    if (this.isOver) {
+  private sendToLeader(): void {
+    const {connections, finder} = this.options;
+    if (this.isSettled) {
       return;
     }
-    const {leader} = lines;
+    const {leader} = connections;
     if (leader) {
-      void this.ask(leader);
+      void this.send(leader);
       return;
     }
-    this.endWait();
-    this.endWait = finder.wait(line => void this.ask(line));
+    this.cancelWait();
+    this.cancelWait = finder.wait(connection => void this.send(connection));
   }
 
-  private async ask(line: ControlConnection): Promise<void> {
-    const {
-      connections: lines,
-      request: question,
-      hedgeDelayMs: besideMs,
-      onRedirect: onTold,
-    } = this.options;
-    lines.retain(line);
-    this.taken.push(line);
-    const timer = this.schedule(besideMs, () => {
-      // It may be slow, or its connection silent for good.
-      lines.evict(line);
-      this.askLeader();
+  private async send(connection: ControlConnection): Promise<void> {
+    const {connections, request, hedgeDelayMs, onRedirect} = this.options;
+    connections.retain(connection);
+    this.acquired.push(connection);
+    const timer = this.schedule(hedgeDelayMs, () => {
+      // The leader may be slow, or its connection dead without being closed.
+      connections.evict(connection);
+      this.sendToLeader();
     });
-    const answer = await line.call(question);
+    const answer = await connection.call(request);
     const isSlow = !this.timers.has(timer);
     clearTimeout(timer);
-    if (this.isOver) {
+    if (this.isSettled) {
       return;
     }
     if (answer && answer.type !== 'not-leader') {
-      this.finish(answer);
+      this.resolve(answer);
       return;
     }
-    lines.clearLeader(line);
-    onTold(answer?.control ?? []);
+    connections.clearLeader(connection);
+    onRedirect(answer?.control ?? []);
     if (!isSlow) {
-      this.schedule(AGAIN_AFTER_MS, () => this.askLeader());
+      this.schedule(RETRY_DELAY_MS, () => this.sendToLeader());
     }
   }
 
-  private schedule(afterMs: number, act: () => void): NodeJS.Timeout {
+  private schedule(afterMs: number, action: () => void): NodeJS.Timeout {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
-      act();
+      action();
     }, afterMs);
     this.timers.add(timer);
     return timer;
--- a/src/protocol/leader_candidates.ts
+++ b/src/protocol/leader_candidates.ts
@@ -1,59 +1,60 @@
 /**
- * In which order a search asks control processes: each at most once a round, and
- * all of them in every round, whatever the ones that do not lead tell.
+ * Queue of the control processes that a search for the leader asks: each at most
+ * once a round, and all of them in every round, whatever addresses followers report.
  *
- * The load that it answers: after a loss some of the processes are dead or stand
- * still, and others do not know yet who leads and tell different lists.
+ * After a failure some processes are dead or frozen, and others do not know the new
+ * leader yet and report different lists. Restarting with each list would keep the
+ * search among those followers.
  */
 export class LeaderCandidates {
   private readonly known: Set<string>;
-  private waiting: string[];
-  private readonly trying = new Set<string>();
+  private queue: string[];
+  private readonly inFlight = new Set<string>();
 
   private constructor(addresses: readonly string[]) {
     this.known = new Set(addresses);
-    this.waiting = [...this.known];
+    this.queue = [...this.known];
   }
 
   /**
-   * Creates the order of a search.
+   * Creates the queue of a search.
    *
-   * @param addresses the likeliest first
+   * @param addresses the most likely leader first
    * @example
-   * const order = SearchOrder.create(['a:1', 'b:1']);
-   * order.takeNext(); // 'a:1'
+   * const candidates = LeaderCandidates.create(['a:1', 'b:1']);
+   * candidates.takeNext(); // 'a:1'
    */
   static create(addresses: readonly string[]): LeaderCandidates {
     return new LeaderCandidates(addresses);
   }
 
-  /** The address to ask next; undefined when this round has no more. */
+  /** Returns the next address to ask; undefined when the round is complete. */
   takeNext(): string | undefined {
-    const address = this.waiting.shift();
+    const address = this.queue.shift();
     if (address !== undefined) {
-      this.trying.add(address);
+      this.inFlight.add(address);
     }
     return address;
   }
 
-  /** Nothing more comes from this address in this round. */
+  /** Records that the attempt at this address has ended. */
   finish(address: string): void {
-    this.trying.delete(address);
+    this.inFlight.delete(address);
   }
 
-  /** Takes what a process that does not lead tells, the leader as it knows it first. */
+  /** Adds the addresses that a follower reported; the first one, its presumed leader, is asked next. */
   add(addresses: readonly string[]): void {
     const added = addresses.filter(address => !this.known.has(address));
     added.forEach(address => this.known.add(address));
-    const [likeliest] = addresses;
-    const rest = [...this.waiting, ...added];
-    this.waiting = rest.includes(likeliest)
-      ? [likeliest, ...rest.filter(address => address !== likeliest)]
+    const [presumedLeader] = addresses;
+    const rest = [...this.queue, ...added];
+    this.queue = rest.includes(presumedLeader)
+      ? [presumedLeader, ...rest.filter(address => address !== presumedLeader)]
       : rest;
   }
 
-  /** Asks everybody once more, but for those whose answer may still come. */
+  /** Queues every address again, except those with an attempt in flight. */
   startRound(): void {
-    this.waiting = [...this.known].filter(address => !this.trying.has(address));
+    this.queue = [...this.known].filter(address => !this.inFlight.has(address));
   }
 }
--- a/src/protocol/leader_finder.ts
+++ b/src/protocol/leader_finder.ts
@@ -1,12 +1,12 @@
 /**
- * Finds who leads, once for all calls of a client that wait for it.
+ * Finds the control leader with one search that all waiting calls of a client share.
  *
- * The load that it answers: after a loss some control processes are dead or stand
- * still, others do not know yet who leads, and dozens of calls wait. The next process
- * is asked as soon as the one before does not lead or cannot be reached, and beside it
- * when it lets wait: machines that stand still cost a tenth of a second each and not
- * their whole patience. Forty calls put 480 questions in 0.6 s to a process that does
- * not lead when each searched by itself; together they put 12.
+ * After a failure some control processes are dead or frozen, others do not know the
+ * new leader yet, and dozens of calls wait. The next process is asked as soon as the
+ * previous one does not lead or cannot be reached, and in parallel when it is slow, so
+ * that a frozen machine costs a tenth of a second and not its whole timeout. When each
+ * of 40 calls searched by itself, they sent 480 requests in 0.6 s to a follower; with
+ * a shared search they send 12.
  */
 import {ControlConnection} from './control_connection';
 import {ControlConnectionPool} from './control_connection_pool';
@@ -14,66 +14,67 @@
 import {LeaderCandidates} from './leader_candidates';
 
 /**
- * For a connection, a hello and an answer each, in milliseconds, before the next
- * process is tried beside it: some round trips between zones. With two of three
- * machines standing still a call of 900 ms found no leader (1,602 ms at the first).
+ * Time for the connection, the handshake and the answer of one process before the
+ * next one is asked in parallel: a few round trips between zones. When the search
+ * waited for each attempt, two frozen machines of three left a call of 900 ms without
+ * a leader (1,602 ms passed at the first).
  */
-const BESIDE_MS = 100;
-/** Silence of a greeted process after which a new connection to it is tried: the old one may carry nothing any more. */
-const SILENT_MS = 1_000;
-/** Between two rounds, so that processes that know no leader yet are not asked without a pause. */
+const HEDGE_DELAY_MS = 100;
+/** Time without an answer after the handshake before a new connection is tried: the old one may be dead without being closed. */
+const ANSWER_TIMEOUT_MS = 1_000;
+/** Pause between two rounds, so that processes that know no leader yet are not polled in a busy loop. */
 const ROUND_PAUSE_MS = 50;
-/** Tries that a report names: those of the last rounds. */
-const MAX_TRIES = 20;
+/** Number of the newest attempts that a report lists. */
+const MAX_ATTEMPTS = 20;
 
-/** One control process that was tried, and what came of it. */
-interface SearchTry {
+/** The outcome of asking one control process whether it leads. */
+interface SearchAttempt {
   readonly address: string;
   readonly outcome: 'leads' | 'does not lead' | 'silent' | 'unreached';
   readonly tookMs: number;
 }
 
-/** What a finder works with. */
+/** The connections and addresses that a finder searches. */
 interface LeaderFinderOptions {
   readonly connections: ControlConnectionPool;
-  /** Addresses to ask, the likeliest first. */
+  /** Addresses to ask, the most likely leader first. */
   readonly listAddresses: () => readonly string[];
-  /** Told where control is by a process that does not lead. */
+  /** Receives the control addresses that a follower reports. */
   readonly onRedirect: (addresses: readonly string[]) => void;
 }
 
-/** Searches while somebody waits. */
+/** Runs one search while at least one call waits for the leader. */
 export class LeaderFinder {
-  private waiting = new Set<(line: ControlConnection) => void>();
+  private waiting = new Set<(connection: ControlConnection) => void>();
   private search: Search | undefined;
-  private newestTries: readonly SearchTry[] = [];
-  /** Why the newest try failed. */
+  private newestAttempts: readonly SearchAttempt[] = [];
+  /** The connection error of the newest attempt that failed with one. */
   lastError: Error | undefined;
 
   private constructor(private readonly options: LeaderFinderOptions) {}
 
   /**
-   * Creates a finder that searches for nobody.
+   * Creates an idle finder.
    *
    * @example
-   * const finder = LeaderFinder.create({lines, listAddresses, onTold});
-   * finder.wait(line => line.ask(question));
+   * const finder = LeaderFinder.create({connections, listAddresses, onRedirect});
+   * finder.wait(connection => connection.call(request));
    */
   static create(options: LeaderFinderOptions): LeaderFinder {
     return new LeaderFinder(options);
   }
 
-  /** What was tried last, in the order of its outcomes. */
-  get tries(): readonly SearchTry[] {
-    return this.newestTries;
+  /** The newest attempts, in the order in which they ended. */
+  get tries(): readonly SearchAttempt[] {
+    return this.newestAttempts;
   }
 
   /**
-   * Tells a line to the leader as soon as one is known.
+   * Calls back with a connection to the leader as soon as one is found.
    *
-   * @returns ends the wait
+   * @returns cancels the wait
    */
-  wait(onFound: (line: ControlConnection) => void): () => void {
+  wait(onFound: (connection: ControlConnection) => void): () => void {
     this.waiting.add(onFound);
     this.search ??= this.startSearch();
     return () => {
@@ -84,7 +85,7 @@
     };
   }
 
-  /** Ends the search; whoever waits is told nothing. */
+  /** Ends the search without calling back. */
   stop(): void {
     this.search?.stop();
     this.search = undefined;
@@ -93,43 +94,45 @@
   private startSearch(): Search {
     const search = Search.create({
       ...this.options,
-      onFound: line => this.handleFound(line),
-      onTry: (tried, error) => {
-        this.newestTries = [...this.newestTries, tried].slice(-MAX_TRIES);
+      onFound: connection => this.handleFound(connection),
+      onAttempt: (attempt, error) => {
+        this.newestAttempts = [...this.newestAttempts, attempt].slice(
+          -MAX_ATTEMPTS,
+        );
         this.lastError = error ?? this.lastError;
       },
     });
-    this.newestTries = [];
+    this.newestAttempts = [];
     this.lastError = undefined;
     search.askNext();
     return search;
   }
 
-  private handleFound(line: ControlConnection): void {
-    this.options.connections.recordLeader(line);
+  private handleFound(connection: ControlConnection): void {
+    this.options.connections.recordLeader(connection);
     const {waiting} = this;
     this.waiting = new Set();
-    // Each takes the line for itself before the search gives it back.
-    waiting.forEach(onFound => onFound(line));
+    // Each callback adds its own reference before the search releases the connection.
+    waiting.forEach(onFound => onFound(connection));
     this.stop();
   }
 }
 
-/** What one search works with. */
+/** The options of the finder and the callbacks of one search. */
 interface SearchOptions extends LeaderFinderOptions {
-  readonly onFound: (line: ControlConnection) => void;
-  readonly onTry: (tried: SearchTry, error?: Error) => void;
+  readonly onFound: (connection: ControlConnection) => void;
+  readonly onAttempt: (attempt: SearchAttempt, error?: Error) => void;
 }
 
-/** One search, from the first question to the first that leads. */
+/** One search, which ends with the first process that answers as leader. */
 class Search {
-  private readonly order: LeaderCandidates;
-  private readonly taken: ControlConnection[] = [];
+  private readonly candidates: LeaderCandidates;
+  private readonly acquired: ControlConnection[] = [];
   private readonly timers = new Set<NodeJS.Timeout>();
-  private isOver = false;
+  private isStopped = false;
 
   private constructor(private readonly options: SearchOptions) {
-    this.order = LeaderCandidates.create(options.listAddresses());
+    this.candidates = LeaderCandidates.create(options.listAddresses());
   }
 
   static create(options: SearchOptions): Search {
@@ -137,66 +140,66 @@
   }
 
   stop(): void {
-    this.isOver = true;
+    this.isStopped = true;
     this.timers.forEach(timer => clearTimeout(timer));
-    this.taken
+    this.acquired
       .splice(0)
-      .forEach(line => this.options.connections.release(line));
+      .forEach(connection => this.options.connections.release(connection));
   }
 
   askNext(): void {
-    if (this.isOver) {
+    if (this.isStopped) {
       return;
     }
-    const address = this.order.takeNext();
+    const address = this.candidates.takeNext();
     if (address !== undefined) {
-      void this.askOne(address);
+      void this.askProcess(address);
       return;
     }
     this.schedule(ROUND_PAUSE_MS, () => {
-      this.order.add(this.options.listAddresses());
-      this.order.startRound();
+      this.candidates.add(this.options.listAddresses());
+      this.candidates.startRound();
       this.askNext();
     });
   }
 
-  private async askOne(address: string): Promise<void> {
+  private async askProcess(address: string): Promise<void> {
     const startedAt = performance.now();
-    let hasMovedOn = false;
-    const moveOn = () => {
-      if (!hasMovedOn) {
-        hasMovedOn = true;
+    let hasAdvanced = false;
+    const advance = () => {
+      if (!hasAdvanced) {
+        hasAdvanced = true;
         this.askNext();
       }
     };
-    const line = this.takeLine(address);
-    this.schedule(BESIDE_MS, moveOn);
-    const outcome = await line.ready.then(
-      () => this.askLine(line),
+    const connection = this.acquireConnection(address);
+    this.schedule(HEDGE_DELAY_MS, advance);
+    const outcome = await connection.ready.then(
+      () => this.askConnection(connection),
       (error: Error) => error,
     );
-    if (!this.isOver) {
-      this.handleOutcome(line, outcome, startedAt);
-      moveOn();
+    if (!this.isStopped) {
+      this.handleOutcome(connection, outcome, startedAt);
+      advance();
     }
   }
 
-  private takeLine(address: string): ControlConnection {
-    const line = this.options.connections.acquire(address);
-    this.taken.push(line);
-    return line;
+  private acquireConnection(address: string): ControlConnection {
+    const connection = this.options.connections.acquire(address);
+    this.acquired.push(connection);
+    return connection;
   }
 
-  /** Undefined when it is silent for long or its connection ends. */
-  private askLine(
-    line: ControlConnection,
+  /** Resolves to undefined on a timeout or when the connection closes. */
+  private askConnection(
+    connection: ControlConnection,
   ): Promise<ControlMessage | undefined> {
     return new Promise(resolve => {
-      const timer = this.schedule(SILENT_MS, () => {
-        this.options.connections.evict(line);
+      const timer = this.schedule(ANSWER_TIMEOUT_MS, () => {
+        this.options.connections.evict(connection);
         resolve(undefined);
       });
-      void line.call({type: 'leader-ask'}).then(answer => {
+      void connection.call({type: 'leader-ask'}).then(answer => {
         clearTimeout(timer);
         resolve(answer);
       });
@@ -204,32 +207,32 @@
   }
 
   private handleOutcome(
-    line: ControlConnection,
+    connection: ControlConnection,
     outcome: ControlMessage | Error | undefined,
     startedAt: number,
   ): void {
-    const {onFound, onRedirect: onTold, onTry} = this.options;
-    const {address} = line;
+    const {onFound, onRedirect, onAttempt} = this.options;
+    const {address} = connection;
     const tookMs = Math.round(performance.now() - startedAt);
-    this.order.finish(address);
+    this.candidates.finish(address);
     if (outcome instanceof Error) {
-      onTry({address, outcome: 'unreached', tookMs}, outcome);
+      onAttempt({address, outcome: 'unreached', tookMs}, outcome);
     } else if (outcome === undefined) {
-      onTry({address, outcome: 'silent', tookMs});
+      onAttempt({address, outcome: 'silent', tookMs});
     } else if (outcome.type === 'not-leader') {
-      onTry({address, outcome: 'does not lead', tookMs});
-      this.order.add(outcome.control ?? []);
-      onTold(outcome.control ?? []);
+      onAttempt({address, outcome: 'does not lead', tookMs});
+      this.candidates.add(outcome.control ?? []);
+      onRedirect(outcome.control ?? []);
     } else {
-      onTry({address, outcome: 'leads', tookMs});
-      onFound(line);
+      onAttempt({address, outcome: 'leads', tookMs});
+      onFound(connection);
     }
   }
 
-  private schedule(afterMs: number, act: () => void): NodeJS.Timeout {
+  private schedule(afterMs: number, action: () => void): NodeJS.Timeout {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
-      act();
+      action();
     }, afterMs);
     this.timers.add(timer);
     return timer;
