--- a/src/protocol/control_connection_pool.ts
+++ b/src/protocol/control_connection_pool.ts
@@ -25,7 +25,7 @@
     return new ControlConnectionPool(options);
   }
 
-  /** The connection to the last pooled leader, while it is usable. */
+  /** The connection to the last known leader, while it is usable. */
   get leader(): ControlConnection | undefined {
     return this.leaderConnection?.isUsable ? this.leaderConnection : undefined;
   }
--- a/src/transport/backend_http_client.ts
+++ b/src/transport/backend_http_client.ts
@@ -1,12 +1,12 @@
-/** Calls to the backend server beside a host process. */
+/** HTTP client of a host process for the backend server on its host. */
 import {Agent, Dispatcher, errors} from 'undici';
 import {TransportError} from './transport_error';
 
 const CONNECT_TIMEOUT_MS = 1_000;
 const HEADERS_TIMEOUT_MS = 120_000;
 
-/** One call. */
-interface BackendCall {
+/** One HTTP request to a backend server. */
+interface BackendRequest {
   readonly url: string;
   readonly method: string;
   readonly path: string;
@@ -15,27 +15,25 @@
   readonly signal: AbortSignal;
 }
 
-/** The beginning of an answer; `body` yields the rest. */
-interface BackendAnswer {
+/** Status and headers of a response; `body` streams the rest. */
+interface BackendResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: AsyncIterable<Buffer>;
-  /** Reads the rest without keeping it, so that the connection is used again. */
+  /** Reads and drops the rest of the body, so that the connection can be reused. */
   readonly discard: () => Promise<void>;
 }
 
-/** Sends calls to backend servers and never sends one twice. */
+/** Sends requests to backend servers and never retries one. */
 export class BackendHttpClient {
   private constructor(private readonly agent: Agent) {}
 
   /**
-   * Creates a client with its own connections.
-   *
-   * One request at a time on a connection: with more, the library would send
-   * again what stood behind a broken one.
+   * Creates a client with its own connections. Each carries one request at a time:
+   * with pipelining, undici would resend the requests queued behind a failed one.
    *
    * @example
-   * const backend = HttpBackend.create();
+   * const backend = BackendHttpClient.create();
    */
   static create(): BackendHttpClient {
     const agent = new Agent({
@@ -48,21 +46,21 @@
   }
 
   /**
-   * Starts a call and resolves when its headers are there.
+   * Sends a request and resolves when the response headers have arrived.
    *
    * @throws TransportError named `NeverSent` when no connection was made, so
-   *     that nothing can have run; with another name when something may have
+   *     that the request cannot have run; named `Broken` when it may have
    */
-  async call(call: BackendCall): Promise<BackendAnswer> {
-    let answer: Dispatcher.ResponseData;
+  async call(request: BackendRequest): Promise<BackendResponse> {
+    let response: Dispatcher.ResponseData;
     try {
-      answer = await this.agent.request({
-        origin: call.url,
-        method: call.method as Dispatcher.HttpMethod,
-        path: call.path,
-        headers: call.headers,
-        body: call.body.length === 0 ? null : call.body,
-        signal: call.signal,
+      response = await this.agent.request({
+        origin: request.url,
+        method: request.method as Dispatcher.HttpMethod,
+        path: request.path,
+        headers: request.headers,
+        body: request.body.length === 0 ? null : request.body,
+        signal: request.signal,
       });
     } catch (error) {
       const name = isNeverSent(error as Error) ? 'NeverSent' : 'Broken';
@@ -72,10 +70,10 @@
       );
     }
     return {
-      status: answer.statusCode,
-      headers: flattenHeaders(answer.headers),
-      body: answer.body,
-      discard: () => answer.body.dump(),
+      status: response.statusCode,
+      headers: flattenHeaders(response.headers),
+      body: response.body,
+      discard: () => response.body.dump(),
     };
   }
 
--- a/src/transport/create_connector.ts
+++ b/src/transport/create_connector.ts
@@ -1,16 +1,17 @@
 import {buildConnector} from 'undici';
 import {TransportError} from './transport_error';
 
-/** The library's own limit, which counts in whole seconds; it only cleans up. */
+/** Undici's own timeout, which has a resolution of whole seconds; it only frees the socket. */
 const LIBRARY_TIMEOUT_MS = 5_000;
 
 /**
- * The library takes a reset behind an answer without a length for its normal
- * end, and connects anew for a request that was given up. Under other codes both
- * are plain errors: a broken answer is not passed on as a whole one, and no
- * server is troubled by a connection that nobody needs.
+ * Changes the error codes that undici treats specially. It takes a connection reset
+ * after a response without a content length for the normal end of the response, and
+ * reconnects for a request that was aborted. Under other codes both are plain errors:
+ * a truncated response is not passed on as a complete one, and no server gets a
+ * connection that nobody needs.
  */
-function renameError(error: NodeJS.ErrnoException): void {
+function replaceErrorCode(error: NodeJS.ErrnoException): void {
   if (error.code === 'ECONNRESET') {
     error.code = 'CONNECTION_RESET';
   } else if (error.code === 'UND_ERR_INFO' && error.message === 'aborted') {
@@ -19,11 +20,12 @@
 }
 
 /**
- * A connector with an exact limit: the library's timers count in seconds, which
- * is too coarse to notice a host that went dark; and a reset is always an error.
+ * Creates an undici connector with a timeout in milliseconds and with every
+ * connection reset reported as an error. Undici's own timers have a resolution of
+ * seconds, too coarse to detect an unreachable host.
  *
- * @param timeoutMs milliseconds until a connection is given up
- * @returns what the library takes as `connect`; errors have the code
+ * @param timeoutMs milliseconds until a connection attempt fails
+ * @returns a value for undici's `connect` option; timeouts have the code
  *     `UND_ERR_CONNECT_TIMEOUT`
  * @example
  * const agent = new Agent({connect: createConnector(300)});
@@ -31,19 +33,22 @@
 export function createConnector(timeoutMs: number): buildConnector.connector {
   const connect = buildConnector({timeout: LIBRARY_TIMEOUT_MS});
   return (options, callback) => {
-    let isOver = false;
+    let isTimedOut = false;
     const timer = setTimeout(() => {
-      isOver = true;
-      const error = new TransportError('no connection in %d ms', timeoutMs);
+      isTimedOut = true;
+      const error = new TransportError(
+        'connecting timed out after %d ms',
+        timeoutMs,
+      );
       callback(Object.assign(error, {code: 'UND_ERR_CONNECT_TIMEOUT'}), null);
     }, timeoutMs);
     connect(options, (...result) => {
-      if (isOver) {
+      if (isTimedOut) {
         result[1]?.destroy();
         return;
       }
       clearTimeout(timer);
-      result[1]?.on('error', renameError);
+      result[1]?.on('error', replaceErrorCode);
       callback(...result);
     });
   };
--- a/src/transport/frame_connection.ts
+++ b/src/transport/frame_connection.ts
@@ -1,4 +1,4 @@
-/** One TCP connection that carries length-prefixed frames both ways. */
+/** A TCP or TLS connection that carries length-prefixed frames in both directions. */
 import * as net from 'node:net';
 import * as tls from 'node:tls';
 import {Stream} from 'most';
@@ -8,7 +8,7 @@
 import {TlsCredentials} from './tls_credentials';
 
 const LENGTH_BYTES = 4;
-/** A bundle may be as large as a body may, and travels as text and as rules. */
+/** A bundle may be as large as an HTTP body, and is sent twice: as source text and as encoded rules. */
 const DEFAULT_MAX_FRAME_BYTES = 32 * 1024 * 1024;
 const DEFAULT_MAX_UNSENT_BYTES = 64 * 1024 * 1024;
 const CONNECT_TIMEOUT_MS = 1_000;
@@ -21,12 +21,12 @@
   readonly timeoutMs?: number;
 }
 
-/** Sends and receives frames over one socket. */
+/** Sends and receives frames over one socket, with limits on frame size and unsent bytes. */
 export class FrameConnection {
   private readonly received = PushSource.create<Buffer>();
-  /** Frames as they arrive. Subscribe in the same turn as the connection is made. */
+  /** Received frames. Subscribe in the same tick in which the connection is created, or frames are lost. */
   readonly frames: Stream<Buffer> = this.received.stream;
-  /** Settles once, when the connection is gone; tells why when it failed. */
+  /** Resolves when the connection is closed, with the error if it failed. */
   readonly closed: Promise<TransportError | undefined>;
   private isCorked = false;
   private failure: TransportError | undefined;
@@ -60,7 +60,7 @@
   /**
    * Connects to a listening process.
    *
-   * @throws TransportError when nobody answers within a second
+   * @throws TransportError when the connection fails or takes over a second
    * @example
    * const connection = await FrameConnection.connect({host: '127.0.0.1', port: 7000});
    */
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Queues one frame; frames of one turn of the loop leave in one write.
+   * Queues one frame; frames of one event loop tick are sent in one write.
    *
-   * @throws TransportError when the frame is over the limit
+   * @throws TransportError when the frame exceeds the size limit
    */
   send(payload: Uint8Array): void {
     if (!this.isOpen) {
@@ -123,13 +123,13 @@
     this.socket.write(frame);
   }
 
-  /** Closes at once; `closed` tells the failure when one is given. */
+  /** Closes at once; `closed` resolves to the failure, if one is given. */
   close(failure?: TransportError): void {
     this.failure ??= failure;
     this.socket.destroy();
   }
 
-  /** Closes after what was sent has left. */
+  /** Closes after the queued frames have been sent. */
   end(): void {
     this.socket.end();
     this.socket.resume();
@@ -175,7 +175,7 @@
     cert: security.certificate,
     key: security.key,
     minVersion: 'TLSv1.3',
-    // Processes are named by the authority that signed them, not by address.
+    // A process is authenticated by the authority that signed its certificate, not by host name.
     checkServerIdentity: () => undefined,
   });
 }
--- a/src/transport/frame_server.ts
+++ b/src/transport/frame_server.ts
@@ -1,4 +1,4 @@
-/** Listens for frame connections. */
+/** TCP or TLS server for frame connections. */
 import * as net from 'node:net';
 import * as tls from 'node:tls';
 import {FrameConnection} from './frame_connection';
@@ -7,17 +7,17 @@
 
 const DEFAULT_MAX_CONNECTIONS = 20_000;
 
-/** Where to listen and whom to tell. */
+/** Where to listen, and the handler of new connections. */
 interface FrameServerOptions {
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   readonly security?: TlsCredentials;
   readonly maxConnections?: number;
   readonly onConnection: (connection: FrameConnection) => void;
 }
 
-/** Accepts connections and hands each to the owner. */
+/** Accepts frame connections, passes each to a handler and closes them all on `close`. */
 export class FrameServer {
   private readonly connections = new Set<FrameConnection>();
 
@@ -26,7 +26,7 @@
   /**
    * Starts listening.
    *
-   * @throws TransportError when the address cannot be taken
+   * @throws TransportError when the address cannot be bound
    * @example
    * const server = await FrameServer.create({host: '127.0.0.1', port: 0, onConnection: acceptPeer});
    */
@@ -54,7 +54,7 @@
     return frameServer;
   }
 
-  /** The port that is listened on. */
+  /** The port that the server listens on. */
   get port(): number {
     return (this.server.address() as net.AddressInfo).port;
   }
--- a/src/transport/frame_splitter.ts
+++ b/src/transport/frame_splitter.ts
@@ -2,14 +2,14 @@
 
 const LENGTH_BYTES = 4;
 
-/** Cuts a stream of bytes into length-prefixed frames. */
+/** Splits a byte stream into length-prefixed frames. */
 export class FrameSplitter {
   private pending: Buffer = Buffer.alloc(0);
 
   private constructor(private readonly maxFrameBytes: number) {}
 
   /**
-   * Creates a splitter that refuses frames over `maxFrameBytes`.
+   * Creates a splitter that rejects frames over `maxFrameBytes`.
    *
    * @example
    * const splitter = FrameSplitter.create(1024);
@@ -20,9 +20,9 @@
   }
 
   /**
-   * Adds a chunk and returns the frames that are complete now.
+   * Adds a chunk and returns the frames that it completes.
    *
-   * @throws TransportError when a frame announces more than the limit
+   * @throws TransportError when the length prefix of a frame exceeds the limit
    */
   split(chunk: Buffer): Buffer[] {
     this.pending =
--- a/src/transport/http_client_pool.ts
+++ b/src/transport/http_client_pool.ts
@@ -1,51 +1,51 @@
-/** Calls to many HTTP servers over kept connections; nothing is ever sent twice. */
+/** HTTP client for many servers with keep-alive connections; it never retries a request. */
 import {Dispatcher, Pool} from 'undici';
 import {createConnector} from './create_connector';
 import {TransportError} from './transport_error';
 
-/** A new connection is given this long; beyond it the server counts as away. */
+/** Time for a new connection, after which the server counts as unreachable. */
 const CONNECT_TIMEOUT_MS = 400;
-/** Connections that no request used for this long are closed. */
+/** Idle time after which a connection is closed. */
 const IDLE_TIMEOUT_MS = 10_000;
-/** Closed this long before the server says that it would close. */
+/** Connections are closed this long before the server's keep-alive timeout. */
 const IDLE_MARGIN_MS = 1_000;
 
-/** One call. */
-interface OriginCall {
+/** One HTTP request and the address of its server. */
+interface HttpClientRequest {
   /** `host:port`. */
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Names and values alternate. */
   readonly headers: readonly string[];
   readonly body: Buffer | null;
-  /** Connections to this server at most. */
+  /** The largest number of connections to this server. */
   readonly maxConnections: number;
 }
 
-/** What becomes of a call, step by step. */
-interface OriginEvents {
-  /** It is about to be written to a connection: from now on it may run. */
+/** Callbacks for the progress of a request, in the order of their calls. */
+interface HttpClientEvents {
+  /** The request is about to be written to a connection: from now on it may run. */
   readonly onSent: () => void;
   readonly onHead: (
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
   ) => void;
   readonly onData: (chunk: Buffer) => void;
-  /** The whole answer is there. */
+  /** The response is complete. */
   readonly onEnd: () => void;
-  /** Told instead of `onEnd`. */
+  /** Called instead of `onEnd`. */
   readonly onError: (error: TransportError) => void;
 }
 
-/** Ends a call early: its connection is closed, so the server notices. */
-interface OriginHandle {
+/** Controls a request; `abort` closes its connection, so that the server notices. */
+interface HttpClientHandle {
   readonly abort: () => void;
   readonly pause: () => void;
   readonly resume: () => void;
 }
 
-/** One small pool of connections for each server. */
+/** Sends requests over one connection pool for each server. */
 export class HttpClientPool {
   private readonly pools = new Map<string, Pool>();
 
@@ -55,31 +55,31 @@
    * Creates a client without connections.
    *
    * @example
-   * const origins = HttpOrigins.create();
-   * const handle = origins.call(call, events);
+   * const client = HttpClientPool.create();
+   * const handle = client.call(request, events);
    */
   static create(): HttpClientPool {
     return new HttpClientPool();
   }
 
-  /** Starts a call. Errors named `NeverSent` mean that nothing can have run. */
-  call(call: OriginCall, events: OriginEvents): OriginHandle {
+  /** Starts a request. An error named `NeverSent` means that it cannot have run. */
+  call(request: HttpClientRequest, events: HttpClientEvents): HttpClientHandle {
     let controller: Dispatcher.DispatchController | undefined;
     let isAborted = false;
     let isSent = false;
-    const stopped = new Error('given up by the caller');
-    this.findPool(call).dispatch(
+    const abortReason = new Error('the request was aborted');
+    this.findPool(request).dispatch(
       {
-        method: call.method as Dispatcher.HttpMethod,
-        path: call.path,
-        headers: [...call.headers],
-        body: call.body,
+        method: request.method as Dispatcher.HttpMethod,
+        path: request.path,
+        headers: [...request.headers],
+        body: request.body,
       },
       {
         onRequestStart: started => {
           controller = started;
           if (isAborted) {
-            started.abort(stopped);
+            started.abort(abortReason);
             return;
           }
           isSent = true;
@@ -96,14 +96,14 @@
     return {
       abort: () => {
         isAborted = true;
-        controller?.abort(stopped);
+        controller?.abort(abortReason);
       },
       pause: () => controller?.pause(),
       resume: () => controller?.resume(),
     };
   }
 
-  /** Closes the connections to servers that are not wanted any more, once they are idle. */
+  /** Drops the pools of all other servers; their connections close when they are idle. */
   retain(addresses: ReadonlySet<string>): void {
     for (const [address, pool] of this.pools) {
       if (!addresses.has(address)) {
@@ -113,19 +113,19 @@
     }
   }
 
-  /** Closes everything at once. */
+  /** Closes all connections at once. */
   async close(): Promise<void> {
     const pools = [...this.pools.values()];
     this.pools.clear();
     await Promise.all(pools.map(pool => pool.destroy()));
   }
 
-  private findPool({address, maxConnections}: OriginCall): Pool {
+  private findPool({address, maxConnections}: HttpClientRequest): Pool {
     let pool = this.pools.get(address);
     if (!pool) {
       pool = new Pool(`http://${address}`, {
         connections: maxConnections,
-        // With more than one, the library would send again what stood behind a broken one.
+        // With pipelining, undici would resend the requests queued behind a failed one.
         pipelining: 1,
         connect: createConnector(CONNECT_TIMEOUT_MS),
         keepAliveTimeout: IDLE_TIMEOUT_MS,
@@ -140,10 +140,10 @@
 }
 
 function wrapError(error: Error, isSent: boolean): TransportError {
-  // A connection that stands can end with the same codes as one that is not made.
+  // The error code does not tell: an open connection can fail with the same codes as one that was never made.
   const name = isSent ? 'Broken' : 'NeverSent';
   return new TransportError(
     {cause: error, name},
-    'the call to the backend server ended early',
+    'the request to the backend server failed',
   );
 }
--- a/src/transport/http_listener.ts
+++ b/src/transport/http_listener.ts
@@ -1,4 +1,4 @@
-/** An HTTP server with bounded headers and times. */
+/** HTTP server with limits on header size, request time and connections. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 import {TransportError} from './transport_error';
@@ -8,10 +8,10 @@
 const REQUEST_TIMEOUT_MS = 60_000;
 const MAX_CONNECTIONS = 10_000;
 
-/** Where to listen and who answers. */
+/** Where to listen, and the request handler. */
 interface HttpListenerOptions {
   readonly host: string;
-  /** 0 takes any free port. */
+  /** 0 selects any free port. */
   readonly port: number;
   readonly onRequest: (
     request: http.IncomingMessage,
@@ -19,14 +19,14 @@
   ) => void;
 }
 
-/** Listens for HTTP requests. */
+/** Listens for HTTP requests; can drain before it closes. */
 export class HttpListener {
   private constructor(private readonly server: http.Server) {}
 
   /**
    * Starts listening.
    *
-   * @throws TransportError when the address cannot be taken
+   * @throws TransportError when the address cannot be bound
    * @example
    * const listener = await HttpListener.create({host: '127.0.0.1', port: 8080, onRequest});
    */
@@ -47,20 +47,20 @@
     });
   }
 
-  /** The port that is listened on. */
+  /** The port that the server listens on. */
   get port(): number {
     return (this.server.address() as net.AddressInfo).port;
   }
 
   /**
-   * Stops listening; connections that stand stay. The HTTP server's own way to
-   * close also ends connections whose answer is written and has not left.
+   * Stops listening and keeps the open connections. `http.Server.close` would also
+   * end connections whose response is written but not sent yet.
    */
   stopAccepting(): void {
     net.Server.prototype.close.call(this.server);
   }
 
-  /** Stops listening and waits for answers under way. */
+  /** Stops listening and waits for the requests in progress. */
   async drain(): Promise<void> {
     const closed = new Promise<void>(resolve =>
       this.server.close(() => resolve()),
@@ -69,7 +69,7 @@
     await closed;
   }
 
-  /** Stops at once. */
+  /** Stops listening and closes every connection at once. */
   async close(): Promise<void> {
     const closed = new Promise<void>(resolve =>
       this.server.close(() => resolve()),
--- a/src/transport/probe_port.ts
+++ b/src/transport/probe_port.ts
@@ -1,12 +1,12 @@
 import * as net from 'node:net';
 
 /**
- * Makes one connection and ends it. Only a machine that runs refuses one at once,
- * and it does so when no process listens there any more.
+ * Checks whether a process listens on a port by opening one connection. A refusal
+ * shows that the machine runs and that no process listens there any more.
  *
- * @param timeoutMs milliseconds after which the address counts as silent
+ * @param timeoutMs milliseconds after which the result is `silent`
  * @example
- * const state = await probeListening({host: '127.0.0.1', port: 8080}, 300);
+ * const state = await probePort({host: '127.0.0.1', port: 8080}, 300);
  */
 export function probePort(
   {host, port}: {readonly host: string; readonly port: number},
@@ -14,15 +14,15 @@
 ): Promise<'listens' | 'refuses' | 'silent'> {
   return new Promise(resolve => {
     const socket = net.connect({host, port});
-    const settle = (state: 'listens' | 'refuses' | 'silent') => {
+    const finish = (state: 'listens' | 'refuses' | 'silent') => {
       clearTimeout(timer);
       socket.destroy();
       resolve(state);
     };
-    const timer = setTimeout(() => settle('silent'), timeoutMs);
-    socket.on('connect', () => settle('listens'));
+    const timer = setTimeout(() => finish('silent'), timeoutMs);
+    socket.on('connect', () => finish('listens'));
     socket.on('error', (error: NodeJS.ErrnoException) =>
-      settle(error.code === 'ECONNREFUSED' ? 'refuses' : 'silent'),
+      finish(error.code === 'ECONNREFUSED' ? 'refuses' : 'silent'),
     );
   });
 }
--- a/src/transport/read_http_body.ts
+++ b/src/transport/read_http_body.ts
@@ -2,11 +2,11 @@
 import {TransportError} from './transport_error';
 
 /**
- * Reads a whole HTTP body. What comes beyond the limit is thrown away, and the
- * error waits for the end: a connection that is closed before it was read to
- * the end is reset, and the answer is lost with it.
+ * Reads a whole HTTP body. Bytes beyond the limit are discarded, and the error is
+ * thrown only at the end of the body: closing a connection with unread bytes resets
+ * it, and the response would be lost.
  *
- * @throws TransportError named `TooLarge` when it is over the limit
+ * @throws TransportError named `TooLarge` when the body exceeds the limit
  * @example
  * const body = await readHttpBody(request, 1024 * 1024);
  */
--- a/src/transport/transport_error.ts
+++ b/src/transport/transport_error.ts
@@ -1,4 +1,4 @@
 import {VError} from 'verror';
 
-/** A failure of bytes: connecting, framing, sending. */
+/** A failure to connect, frame, send or receive bytes. */
 export class TransportError extends VError {}
