--- a/src/protocol/backend_registration.ts
+++ b/src/protocol/backend_registration.ts
@@ -1,4 +1,4 @@
-/** What one start of a backend server says about itself, again and again. */
+/** Periodic registration of one start of a backend server. */
 import {z} from 'zod';
 
 const MAX_NAME_LENGTH = 200;
@@ -6,32 +6,32 @@
 const GroupMembership = z.object({
   name: z.string(),
   epoch: z.int(),
-  /** 0 is the head, which takes the group's requests. */
+  /** 0 is the head, which receives the requests of the group. */
   rank: z.int().nonnegative(),
   state: z.enum(['joining', 'ready', 'open', 'closing', 'broken']),
 });
 
 export const BackendRegistration = z.object({
-  /** New with every start. */
+  /** Unique to each start of the server. */
   incarnation: z.string().min(1).max(MAX_NAME_LENGTH),
-  /** Shared by all starts of one backend server; absent where each start has a name of its own. */
+  /** Shared by all starts of one backend server; absent when each start has its own name. */
   name: z.string().max(MAX_NAME_LENGTH).optional(),
-  /** When it started, in milliseconds of its own clock: tells its starts apart, and may jump. */
+  /** Start time in milliseconds of the server's own clock, which may jump; distinguishes its starts. */
   startedAt: z.int().optional(),
   pool: z.string(),
   /** `host:port` for requests. */
   address: z.string(),
   zone: z.string(),
   isLeaving: z.boolean(),
-  /** Rises with each call, so that a late one is known. */
+  /** Increases with each call, so that delayed calls are detected. */
   sequence: z.int(),
-  /** Requests that it handles at once. */
+  /** Number of requests that the server handles concurrently. */
   slots: z.int().nonnegative(),
-  /** Hosts of one domain share a fast fabric; absent for a plain service. */
+  /** Network domain, whose hosts share a fast interconnect; absent for a plain service. */
   domain: z.string().optional(),
-  /** The model in its memory. */
+  /** The model that is loaded in memory. */
   model: z.string().optional(),
-  /** Models whose weights lie on its host. */
+  /** Models whose weights are stored on the host. */
   stagedModels: z.array(z.string()),
   group: GroupMembership.optional(),
 });
--- a/src/protocol/bundle.ts
+++ b/src/protocol/bundle.ts
@@ -1,4 +1,4 @@
-/** What operators decide: models, services, workspaces and rules, in one version. */
+/** A version of the operator's configuration: models, services, workspaces and objectives. */
 import {z} from 'zod';
 
 const Name = z
@@ -12,9 +12,9 @@
   name: Name,
   replicas: z.int().min(0).max(10_000),
   hostsPerReplica: z.int().min(1).max(64),
-  /** Which model gives up hosts first when they are short: the lowest worth. */
+  /** When hosts are scarce, the model with the lowest worth gives up hosts first. */
   worth: z.number().positive().default(1),
-  /** Until one host has loaded the weights, alone at the weight store. */
+  /** Time for one host to load the weights while no other host loads. */
   loadSeconds: z.number().positive().default(60),
 });
 
@@ -22,7 +22,7 @@
   name: Name,
   replicas: z.int().min(0).max(10_000),
   worth: z.number().positive().default(1),
-  /** Calls that run at most once, by method and path prefix. */
+  /** Requests that run at most once, by method and path prefix. */
   notRepeatable: z
     .array(
       z.strictObject({
@@ -35,11 +35,11 @@
 
 const Workspace = z.strictObject({
   name: Name,
-  /** SHA-256 of each key, in hex; the keys themselves are never in a bundle. */
+  /** SHA-256 of each API key, in hex; a bundle never contains the keys themselves. */
   keyHashes: z
     .array(z.string().regex(/^[0-9a-f]{64}$/, 'a SHA-256 in hex'))
     .min(1),
-  /** Requests that may be in flight at once in the whole system. */
+  /** Limit on requests in flight, over all entries. */
   maxInFlight: z.int().positive().default(64),
   priority: z.int().min(0).max(9).default(5),
 });
@@ -47,14 +47,14 @@
 const Objectives = z.strictObject({
   firstTokenMs: z.number().positive().default(430),
   betweenTokensMs: z.number().positive().default(34),
-  /** The share of requests that must meet each objective. */
+  /** Fraction of requests that must meet each objective. */
   share: z.number().gt(0).lt(1).default(0.95),
 });
 
 export const Bundle = z.strictObject({
   operator: Name,
   version: z.int().positive(),
-  /** Digest of the version before; empty for version 1. */
+  /** Digest of the previous version; empty for version 1. */
   previous: z.string().default(''),
   models: z.array(Model).default([]),
   services: z.array(Service).default([]),
@@ -66,7 +66,7 @@
       strandedAccelerators: z.number().positive().default(1),
     })
     .prefault({}),
-  /** How many hosts may load weights at once before they wait for each other. */
+  /** Number of hosts that the weight store serves concurrently at full speed. */
   weightStore: z
     .strictObject({concurrentLoads: z.int().positive().default(8)})
     .prefault({}),
--- a/src/protocol/check_gateway_rules.ts
+++ b/src/protocol/check_gateway_rules.ts
@@ -2,16 +2,17 @@
 import {ProtocolError} from './protocol_error';
 
 /**
- * Checks what the schema of the rules cannot: that every route leads somewhere,
- * that no two stand at one place, and that a key belongs to one workspace.
+ * Checks constraints between fields, which the schema cannot express: every route
+ * has a known pool with a weight over 0, no two routes share a host and path prefix,
+ * and a key belongs to one workspace.
  *
- * @throws ProtocolError telling which route or workspace is wrong
+ * @throws ProtocolError that names the invalid route or workspace
  * @example
  * checkGatewayRules(rules);
  */
 export function checkGatewayRules(rules: GatewayRules): void {
   checkTargets(rules);
-  checkPlaces(rules);
+  checkDuplicates(rules);
   checkKeys(rules);
 }
 
@@ -35,14 +36,14 @@
   }
 }
 
-function checkPlaces({routes}: GatewayRules): void {
-  const places = new Set<string>();
+function checkDuplicates({routes}: GatewayRules): void {
+  const locations = new Set<string>();
   for (const {host, pathPrefix} of routes) {
-    const place = `${host.toLowerCase()} ${pathPrefix}`;
-    if (places.has(place)) {
-      throw new ProtocolError('two routes stand at %s', place);
+    const location = `${host.toLowerCase()} ${pathPrefix}`;
+    if (locations.has(location)) {
+      throw new ProtocolError('two routes stand at %s', location);
     }
-    places.add(place);
+    locations.add(location);
   }
 }
 
--- a/src/protocol/claim_verdict.ts
+++ b/src/protocol/claim_verdict.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {RequestOutcome} from './request_outcome';
 
-/** The answer to a claim of a once-only request. */
+/** The answer to a claim on an idempotency key, by which a request runs at most once. */
 export const ClaimVerdict = z.discriminatedUnion('status', [
   z.object({status: z.literal('granted')}),
   z.object({
--- a/src/protocol/compute_digest.ts
+++ b/src/protocol/compute_digest.ts
@@ -1,7 +1,7 @@
 import {createHash} from 'node:crypto';
 
 /**
- * SHA-256 of text or bytes, in hex.
+ * Computes the SHA-256 of text or bytes, in hex.
  *
  * @example
  * computeDigest('secret-key');
--- a/src/protocol/compute_key_id.ts
+++ b/src/protocol/compute_key_id.ts
@@ -4,7 +4,7 @@
 const KEY_ID_LENGTH = 16;
 
 /**
- * The fingerprint by which a signing key is named.
+ * Computes the fingerprint that identifies a signing key.
  *
  * @param key a private or public Ed25519 key
  * @example
--- a/src/protocol/connect_peer.ts
+++ b/src/protocol/connect_peer.ts
@@ -4,11 +4,11 @@
 import {Peer} from './peer';
 
 /**
- * Connects to another process and exchanges hellos.
+ * Connects to another process and completes the handshake.
  *
  * @param address `host:port`
- * @param timeoutMs for the connection and the hello together, in milliseconds
- * @throws TransportError when nobody answers there
+ * @param timeoutMs milliseconds for the connection and the handshake together
+ * @throws TransportError when the connection or the handshake fails
  * @example
  * const peer = await connectPeer('127.0.0.1:7000', {program: 'entry', id: 'e1', incarnation});
  */
@@ -24,9 +24,9 @@
     security,
     timeoutMs,
   });
-  const leftMs =
+  const remainingMs =
     timeoutMs === undefined
       ? undefined
       : Math.max(1, timeoutMs - (performance.now() - startedAt));
-  return Peer.create(connection, identity, leftMs);
+  return Peer.create(connection, identity, remainingMs);
 }
--- a/src/protocol/control_command.ts
+++ b/src/protocol/control_command.ts
@@ -1,4 +1,4 @@
-/** Commands of the replicated log. Every table of control is derived from them. */
+/** Commands of the replicated log, from which the whole state of control is derived. */
 import {z} from 'zod';
 import {ChannelBundle} from './channel_bundle';
 import {CrashReport} from './crash_report';
@@ -7,7 +7,7 @@
 import {RequestOutcome} from './request_outcome';
 import {SignedBundle} from './signed_bundle';
 
-/** Wall-clock milliseconds at the leader that proposed it. */
+/** Wall-clock milliseconds at the leader that proposed the command. */
 const Time = z.number();
 const Claim = z.object({
   workspace: z.string(),
@@ -17,23 +17,23 @@
 
 export const ControlCommand = z.discriminatedUnion('type', [
   z.object({type: z.literal('start-term'), time: Time}),
-  /** A control process with this name now keeps its state under this identity. */
+  /** Makes the control process with this name and storage identity a voter. */
   z.object({
     type: z.literal('set-voter'),
     time: Time,
     name: z.string(),
     identity: z.string(),
-    /** Name of a voter that goes in the same step. */
+    /** Name of the voter that is removed in the same change. */
     replaces: z.string().optional(),
   }),
-  /** Every change of voters before it is committed: whoever holds this knows so. */
+  /** Marks that every earlier voter change is committed, for each process that has this entry. */
   z.object({type: z.literal('settle-voters'), time: Time}),
   z.object({
     type: z.literal('accept-channel-bundle'),
     time: Time,
     bundle: ChannelBundle,
   }),
-  /** A backend server drains or is gone: it takes no new work, for good. */
+  /** Stops new requests to a backend server that drains or is gone, permanently. */
   z.object({
     type: z.literal('retire-backend'),
     time: Time,
@@ -46,7 +46,7 @@
     group: EngineGroup,
     reason: z.string(),
   }),
-  /** From now on the group is only taken apart. */
+  /** Begins the teardown of a group, which cannot be reverted. */
   z.object({
     type: z.literal('end-engine-group'),
     time: Time,
@@ -54,7 +54,7 @@
     epoch: z.int(),
     reason: z.string(),
   }),
-  /** A member has left: every control process starts to count the head's time. */
+  /** Records that a member has left; every control process starts the timeout of the group's head. */
   z.object({
     type: z.literal('release-engine-group'),
     time: Time,
@@ -83,7 +83,7 @@
     epoch: z.int(),
     reason: z.string(),
   }),
-  /** Stops new work on a group without touching what is in flight: the epoch stays. */
+  /** Stops new requests to a group; requests in flight continue, as the epoch stays the same. */
   z.object({
     type: z.literal('drain-group'),
     time: Time,
@@ -98,14 +98,14 @@
     isDraining: z.boolean(),
     keyId: z.string(),
   }),
-  /** What gateways saw of requests under which backend servers ended. */
+  /** Records gateway reports on requests that were running when backend servers crashed. */
   z.object({
     type: z.literal('record-suspects'),
     time: Time,
     crashes: z.array(CrashReport),
-    /** Their trials are over. */
+    /** Requests whose trial has ended. */
     released: z.array(z.string()),
-    /** They ran to their end. */
+    /** Requests that completed without a crash. */
     cleared: z.array(z.string()),
   }),
   z.object({
@@ -114,13 +114,13 @@
     name: z.string(),
     incarnation: z.string(),
   }),
-  /** A backend server that was taken for ended lives. */
+  /** Reverts a crash report: the backend server is alive. */
   z.object({
     type: z.literal('withdraw-crash'),
     time: Time,
     incarnation: z.string(),
   }),
-  /** An operator lets a convicted request run again. */
+  /** Lets a convicted request run again, by order of an operator. */
   z.object({
     type: z.literal('lift-verdict'),
     time: Time,
--- a/src/protocol/control_message.ts
+++ b/src/protocol/control_message.ts
@@ -1,4 +1,4 @@
-/** Calls to the control leader and their answers, matched by `call`. */
+/** Calls to the control leader and their answers, correlated by `call`. */
 import {z} from 'zod';
 import {BackendRegistration} from './backend_registration';
 import {ChannelBundle} from './channel_bundle';
@@ -22,14 +22,14 @@
   z.object({
     type: z.literal('host-directive'),
     call: Call,
-    /** How long the receiver may take new work, from when it asked. */
+    /** Lease to accept new requests, from the time at which the receiver sent its report. */
     leaseMs: z.number(),
     bundleVersion: z.int(),
-    /** Present when the asker reported another version. */
+    /** Present when the caller reported another version. */
     bundle: SignedBundle.optional(),
-    /** Null for none; absent when it is as the asker was told before. */
+    /** Null for no group; absent when unchanged since the last answer. */
     group: Group.nullable().optional(),
-    /** The model that an engine without a group should load in advance. */
+    /** The model that an engine without a group should preload. */
     standby: z.string().nullable(),
   }),
   z.object({
@@ -37,7 +37,7 @@
     call: Call,
     entryId: z.string().max(128),
     bundleVersion: z.int().nonnegative(),
-    /** The newest routing table that the entry holds; 0 for none. */
+    /** Version of the entry's routing table; 0 for none. */
     tableVersion: z.int().nonnegative(),
   }),
   z.object({
@@ -108,7 +108,7 @@
     call: Call,
     hostId: z.string(),
     isDraining: z.boolean(),
-    /** Wall-clock milliseconds at the operator's machine. */
+    /** Wall-clock milliseconds on the operator's machine. */
     time: z.number(),
     keyId: z.string(),
     signature: z.string(),
@@ -127,7 +127,7 @@
   z.object({
     type: z.literal('channel-bundle-answer'),
     call: Call,
-    /** The version in force now. */
+    /** The version currently in force. */
     version: z.int(),
     reason: z.string(),
   }),
@@ -135,7 +135,7 @@
   z.object({
     type: z.literal('source-answer'),
     call: Call,
-    /** The newest bundle as its operator sent it; null before the first. */
+    /** The newest bundle as the operator sent it; null before the first. */
     source: z.string().nullable(),
   }),
   z.object({
@@ -152,7 +152,7 @@
   z.object({
     type: z.literal('registration-answer'),
     call: Call,
-    /** Why nothing was taken; absent when it was. */
+    /** Why the call was rejected; absent when it was accepted. */
     refusal: z.string().optional(),
   }),
   z.object({
@@ -160,67 +160,67 @@
     call: Call,
     gatewayId: z.string().max(128),
     rulesVersion: z.int().nonnegative(),
-    /** Names the leader's table that the gateway holds; empty for none. */
+    /** Version tag of the gateway's copy of the backend server table; empty for none. */
     tableTag: z.string(),
-    /** Backend servers that stopped answering at this gateway lately. */
+    /** Backend servers that recently stopped responding to this gateway. */
     stalled: z.array(z.string()),
-    /** Backend servers that answered this gateway lately. */
+    /** Backend servers that recently responded to this gateway. */
     answering: z.array(z.string()),
-    /** Milliseconds since bytes of an answer last came from each of them, in the same order. */
+    /** Milliseconds since the last response bytes from each of them, in the same order. */
     answeringMsAgo: z.array(z.int().nonnegative()).optional(),
-    /** Requests that this gateway has at backend servers now, by incarnation. */
+    /** Requests in flight from this gateway, by incarnation of the backend server. */
     running: z.record(z.string(), z.int()),
-    /** Models of which requests were refused lately for want of a place. */
+    /** Models with requests that were recently rejected for lack of a free slot. */
     pressed: z.array(z.string()),
-    /** True once a caller's request was taken. */
+    /** True after the first accepted request of a caller. */
     hasServed: z.boolean(),
-    /** The asker has news: the answer must not wait for any in return. */
+    /** True when this report has changes: the answer must not be delayed until control has some (long polling). */
     isUrgent: z.boolean().default(false),
-    /** The newest list of suspected requests that the gateway holds; 0 for none. */
+    /** Version of the gateway's list of suspected requests; 0 for none. */
     suspectsVersion: z.int().nonnegative().optional(),
-    /** What callers ask for here, by model. */
+    /** Demand of callers at this gateway, by model. */
     demand: z.record(z.string(), ModelDemand).optional(),
-    /** Names the leader's table of limits that the gateway holds; absent at one that knows of none. */
+    /** Version tag of the gateway's copy of the rate limit table; absent at a gateway without rate limits. */
     limitsTag: z.string().optional(),
-    /** Limits that this leader was not told from here. */
+    /** Rate limits that this gateway has not yet reported to this leader. */
     limits: z.array(RateLimitReport).optional(),
   }),
   z.object({
     type: z.literal('gateway-answer'),
     call: Call,
-    /** Encoded by themselves; present when the asker holds another version. */
+    /** Encoded separately (see `rulesCodec`); present when the caller has another version. */
     rules: z
       .custom<Uint8Array>(value => value instanceof Uint8Array)
       .optional(),
     rulesVersion: z.int(),
     tableTag: z.string(),
-    /** Present when the asker holds another table. */
+    /** Present when the caller has another version of the table. */
     targets: z.array(GatewayTarget).optional(),
-    /** Backend servers that take no new work, with every table. */
+    /** Backend servers that accept no new requests; present with `targets`. */
     retired: z.array(z.string()).optional(),
-    /** Backend servers that were heard and serve nothing now, with every table. */
+    /** Backend servers that have registered and do not serve now; present with `targets`. */
     closed: z.array(z.string()).optional(),
-    /** False where the table holds only what changed in the one that the asker holds. */
+    /** False when `targets` has only the changes to the table of the caller. */
     isWholeTable: z.boolean().optional(),
-    /** False while the leader may not have heard every backend server yet. */
+    /** False while some backend servers may not have registered with this leader yet. */
     isComplete: z.boolean(),
-    /** Requests that the other gateways have there, by incarnation, as last told. */
+    /** Requests in flight from the other gateways, by incarnation, as last reported. */
     runningElsewhere: z.record(z.string(), z.int()),
-    /** Gateways heard of lately, for sharing out what is limited in all. */
+    /** Number of active gateways, among which global limits are divided. */
     gateways: z.int().positive(),
-    /** Addresses of the control processes that vote. */
+    /** Addresses of the voting control processes. */
     control: z.array(z.string()),
-    /** Present when the asker holds another list. */
+    /** Present when the caller has another version of the list. */
     suspects: SuspectUpdate.optional(),
     limitsTag: z.string().optional(),
-    /** What changed in the table of limits; present when the asker holds another. */
+    /** Changes to the rate limit table; present when the caller has another version. */
     limits: z.array(RateLimitReport).optional(),
   }),
   z.object({
     type: z.literal('leaving-ask'),
     call: Call,
     gatewayId: z.string().max(128),
-    /** Starts of backend servers that said in an answer that they leave. */
+    /** Incarnations whose responses announced that the server is leaving. */
     incarnations: z.array(z.string()),
   }),
   z.object({type: z.literal('leaving-answer'), call: Call}),
@@ -228,7 +228,7 @@
     type: z.literal('permit-ask'),
     call: Call,
     gatewayId: z.string().max(128),
-    /** The limit as the gateway knows it. */
+    /** The rate limit as known to the gateway. */
     limit: RateLimitReport,
   }),
   z.object({
@@ -241,9 +241,9 @@
     call: Call,
     gatewayId: z.string().max(128),
     crashes: z.array(CrashReport),
-    /** Requests whose trials are over. */
+    /** Requests whose trial has ended. */
     released: z.array(z.string()),
-    /** Requests that ran to their end. */
+    /** Requests that completed without a crash. */
     cleared: z.array(z.string()),
   }),
   z.object({type: z.literal('ends-answer'), call: Call}),
@@ -268,7 +268,7 @@
     type: z.literal('lift-ask'),
     call: Call,
     name: z.string(),
-    /** Wall-clock milliseconds at the operator's machine. */
+    /** Wall-clock milliseconds on the operator's machine. */
     time: z.number(),
     keyId: z.string(),
     signature: z.string(),
@@ -279,13 +279,13 @@
     isAccepted: z.boolean(),
     reason: z.string(),
   }),
-  /** Answered by the leader alone, like every call: finds it. */
+  /** Finds the leader, which alone answers calls. */
   z.object({type: z.literal('leader-ask'), call: Call}),
   z.object({type: z.literal('leader-answer'), call: Call}),
   z.object({
     type: z.literal('not-leader'),
     call: Call,
-    /** Where the leader may be, the likeliest first; only where names are addresses. */
+    /** Addresses where the leader may be, the most likely first; present only where names are addresses. */
     control: z.array(z.string()).optional(),
   }),
 ]);
--- a/src/protocol/crash_report.ts
+++ b/src/protocol/crash_report.ts
@@ -1,16 +1,16 @@
 import {z} from 'zod';
 
-/** Digests of caller, path and body; never longer. */
+/** Digest of caller, path and body. */
 const RequestName = z.string().max(64);
-/** Requests under way on one backend server are fewer than its places and its queue. */
-const MAX_RUNS = 512;
+/** Upper bound: more than the slots and the queue of one backend server. */
+const MAX_REQUESTS = 512;
 
-/** What ran on a backend server when it ended, as one gateway saw it. */
+/** The requests of one gateway that were running on a backend server when it crashed. */
 export const CrashReport = z.object({
   incarnation: z.string().max(256),
-  /** Requests of which no answer had come yet. */
-  notBegun: z.array(RequestName).max(MAX_RUNS),
-  /** Requests whose answers had begun. */
-  begun: z.array(RequestName).max(MAX_RUNS),
+  /** Requests whose response had not started. */
+  notBegun: z.array(RequestName).max(MAX_REQUESTS),
+  /** Requests whose response had started. */
+  begun: z.array(RequestName).max(MAX_REQUESTS),
 });
 export type CrashReport = z.infer<typeof CrashReport>;
--- a/src/protocol/encode_canonical_json.ts
+++ b/src/protocol/encode_canonical_json.ts
@@ -1,9 +1,9 @@
 /**
  * Encodes a value as JSON with sorted keys and no white space, so that equal
- * values have equal bytes.
+ * values have the same bytes and the same signature.
  *
  * @example
- * encodeCanonical({b: 1, a: 2}); // '{"a":2,"b":1}'
+ * encodeCanonicalJson({b: 1, a: 2}); // '{"a":2,"b":1}'
  */
 export function encodeCanonicalJson(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) => {
--- a/src/protocol/encode_drain_order.ts
+++ b/src/protocol/encode_drain_order.ts
@@ -1,11 +1,11 @@
 import {encodeCanonicalJson} from './encode_canonical_json';
 
 /**
- * The text that an operator signs to drain a host or to take it back.
+ * Encodes the text that an operator signs to drain a host or to undo the drain.
  *
- * @param time wall-clock milliseconds; control refuses an order that is old
+ * @param time wall-clock milliseconds; control rejects old orders
  * @example
- * sign(null, Buffer.from(describeDrainOrder('h1', true, Date.now())), privateKey);
+ * sign(null, Buffer.from(encodeDrainOrder('h1', true, Date.now())), privateKey);
  */
 export function encodeDrainOrder(
   hostId: string,
--- a/src/protocol/engine_client.ts
+++ b/src/protocol/engine_client.ts
@@ -1,6 +1,6 @@
-/** How control tells engines what to form; the way to them is the adapter's. */
+/** Port through which control sends orders to engines; an adapter implements the transport. */
 
-/** What an engine is told to do about a group, or to its host's copy of the weights. */
+/** A change to an engine's group membership, or to the weights stored on its host. */
 interface EngineOrder {
   readonly kind: 'join' | 'open' | 'close' | 'leave' | 'stage';
   /** Absent for `stage`. */
@@ -11,31 +11,31 @@
   readonly members?: readonly string[];
 }
 
-/** One order on its way. */
+/** An order with its recipient and its fencing token. */
 interface OrderCall {
   readonly incarnation: string;
   /** `host:port`. */
   readonly address: string;
   readonly order: EngineOrder;
-  /** Rises with each leader; engines refuse a lower one than they saw. */
+  /** Fencing token, which increases with each leader; engines reject a lower one than they have seen. */
   readonly fence: number;
-  /** Orders that it took by what its answers said; its own report lags behind. */
+  /** Number of orders that the engine has accepted according to its answers; its own report lags behind. */
   readonly ordersTaken: number;
 }
 
-/** What became of an order. `unanswered` may have been taken, also later. */
+/** The outcome of an order. An `unanswered` one may have been accepted, or may still be. */
 type OrderOutcome = 'begun' | 'holds' | 'unfit' | 'fenced' | 'unanswered';
 
 /** An engine's answer to an order. */
 interface OrderAnswer {
   readonly outcome: OrderOutcome;
-  /** Orders that it has taken now; absent where its answer does not tell. */
+  /** Number of orders accepted so far; absent when unknown. */
   readonly ordersTaken?: number;
 }
 
-/** Gives orders to engines. */
+/** Sends orders to engines and probes them. */
 export interface EngineClient {
   readonly send: (call: OrderCall) => Promise<OrderAnswer>;
-  /** Asks whether this very start of an engine answers. */
+  /** Checks whether this incarnation of an engine responds. */
   readonly probe: (address: string, incarnation: string) => Promise<boolean>;
 }
--- a/src/protocol/engine_group.ts
+++ b/src/protocol/engine_group.ts
@@ -1,9 +1,9 @@
 import {z} from 'zod';
 
-/** A replica of a model that control wants: its members in order, the head first. */
+/** A model replica that control has set: its members in order, the head first. */
 export const EngineGroup = z.object({
   name: z.string(),
-  /** The place in the log that set it, so it rises over all groups. */
+  /** Index of the log entry that set the group, so it increases across all groups. */
   epoch: z.int().nonnegative(),
   pool: z.string(),
   model: z.string(),
@@ -14,14 +14,14 @@
         incarnation: z.string(),
         /** Shared by all starts of this backend server. */
         name: z.string().optional(),
-        /** `host:port`, so that a new leader can ask members it has not heard. */
+        /** `host:port`, so that a new leader can query members that have not registered with it yet. */
         address: z.string(),
       }),
     )
     .min(1),
-  /** It lost a member or is to lose one: it is being taken apart, for good. */
+  /** True when the group has lost or will lose a member: its teardown cannot be reverted. */
   isEnding: z.boolean(),
-  /** A member has left while the head was silent, so the head will break by itself. */
+  /** True when a member has left while the head did not respond; the head fails on its own then. */
   isReleased: z.boolean(),
 });
 export type EngineGroup = z.infer<typeof EngineGroup>;
--- a/src/protocol/engine_profile.ts
+++ b/src/protocol/engine_profile.ts
@@ -1,45 +1,45 @@
-/** How fast the engines of one pool are, and which models they can load. */
+/** Performance model of the engines of one pool, and the models that they can load. */
 import {z} from 'zod';
 
 const Milliseconds = z.number().nonnegative();
 
 const EngineModel = z.object({
   name: z.string(),
-  /** Hosts that form one replica of it. */
+  /** Number of hosts in one replica. */
   size: z.int().positive(),
-  /** Factor on all times of the engine while it runs this model. */
+  /** Factor on all engine times while it runs this model. */
   pace: z.number().positive(),
-  /** Part of the work that was for this model when the bundle was made, 0 to 1. */
+  /** Fraction of the load that was for this model when the bundle was created, 0 to 1. */
   share: z.number().nonnegative(),
-  /** From the weight store, with nobody else loading. */
+  /** Load time from the weight store without concurrent loads. */
   loadMs: Milliseconds,
-  /** From the host's own copy. */
+  /** Load time from the host's own copy. */
   warmMs: Milliseconds,
 });
 
 export const EngineProfile = z.object({
   models: z.array(EngineModel),
-  /** Requests that one replica runs at once. */
+  /** Number of requests that one replica runs concurrently. */
   slots: z.int().positive(),
-  /** Tokens of context that one replica has memory for. */
+  /** Capacity of the KV cache of one replica, in tokens. */
   contextTokens: z.number().positive(),
-  /** One pass that writes one token for each request. */
+  /** Time of one decode step, which generates one token for each request. */
   stepMs: Milliseconds,
-  /** What each writing request adds to a pass. */
+  /** Time that each decoding request adds to a step. */
   stepMsPerRequest: Milliseconds,
-  /** Prompt tokens read in a second. */
+  /** Prefill throughput. */
   promptTokensPerSecond: z.number().positive(),
-  /** Prompt tokens that one pass reads at most. */
+  /** Largest prefill chunk in one step. */
   promptChunkTokens: z.int().positive(),
-  /** Passes between two events of a stream. */
+  /** Decode steps between two events of a stream. */
   stepsPerEvent: z.int().positive(),
-  /** Loads that may begin each second, over the whole pool. */
+  /** Rate limit on starting loads, over the whole pool. */
   loadsPerSecond: z.number().positive(),
-  /** Loads that run side by side before they slow each other down. */
+  /** Number of concurrent loads at which they do not yet slow each other down. */
   concurrentLoads: z.int().positive(),
-  /** Models whose weights a host keeps beside the one in memory. */
+  /** Number of models whose weights a host keeps in addition to the loaded one. */
   keptModels: z.int().nonnegative(),
-  /** From the order to open until the replica serves. */
+  /** Time from the `open` order until the replica serves. */
   openMs: Milliseconds,
 });
 export type EngineProfile = z.infer<typeof EngineProfile>;
--- a/src/protocol/fleet_status.ts
+++ b/src/protocol/fleet_status.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {Group} from './group';
 
-/** What `whinreel status` shows. */
+/** The status that `whinreel status` prints. */
 export const FleetStatus = z.object({
   leader: z.string(),
   term: z.int(),
@@ -10,17 +10,17 @@
     z.object({
       identity: z.string(),
       isReachable: z.boolean(),
-      /** It holds everything that is committed. */
+      /** The voter has every committed log entry. */
       isCaughtUp: z.boolean(),
     }),
   ),
-  /** A voter is being replaced; not committed yet. */
+  /** A voter change is not committed yet. */
   isChangingVoters: z.boolean(),
   bundle: z.object({
     version: z.int(),
     digest: z.string(),
     keyId: z.string(),
-    /** Hosts and entries that reported this version, of all that report. */
+    /** Number of hosts and entries that reported this version; `of` is the number of all that report. */
     inForce: z.int(),
     of: z.int(),
   }),
--- a/src/protocol/formation_message.ts
+++ b/src/protocol/formation_message.ts
@@ -1,4 +1,4 @@
-/** Messages by which control processes with empty disks find each other. */
+/** Messages by which control processes without stored state form the first quorum. */
 import {z} from 'zod';
 
 const Voters = z.record(z.string(), z.string());
@@ -8,7 +8,7 @@
   z.object({
     type: z.literal('formation-answer'),
     identity: z.string(),
-    /** Name to identity, once the first quorum stands; else null. */
+    /** Maps names to identities; null before the first quorum is formed. */
     voters: Voters.nullable(),
   }),
 ]);
--- a/src/protocol/gateway_rules.ts
+++ b/src/protocol/gateway_rules.ts
@@ -1,4 +1,4 @@
-/** What an operator decides for the gateway: routes, pools, workspaces and limits. */
+/** Configuration of the gateways: routes, pools, workspaces and limits. */
 import {z} from 'zod';
 import {EngineProfile} from './engine_profile';
 
@@ -8,31 +8,31 @@
   name: z.string(),
   host: z.string(),
   pathPrefix: z.string(),
-  /** Whether a request may run again: `safe` may, `unsafe` may not, a stream only where it resumes. */
+  /** Retry semantics: `safe` requests may run again, `unsafe` ones may not, a `stream` only if it is resumable. */
   kind: z.enum(['safe', 'unsafe', 'stream']),
-  /** The longest that a request may be held. */
+  /** Time limit of a request. */
   timeoutMs: Milliseconds,
-  /** Time to the whole answer, or to the first event of a stream. */
+  /** Latency objective for the whole response, or for the first event of a stream. */
   objectiveMs: Milliseconds,
-  /** The longest pause between two events of a stream that is still in time. */
+  /** Objective for the longest pause between two events of a stream. */
   pauseObjectiveMs: Milliseconds.optional(),
   /** 0 is the most urgent. */
   priority: z.int().nonnegative(),
-  /** Pools by weight; weights need not add up to anything. */
+  /** Pools with relative weights, which need not add up to 1. */
   targets: z
     .array(z.object({pool: z.string(), weight: z.number().nonnegative()}))
     .min(1),
-  /** Backend servers that one request may run on. */
+  /** Number of backend servers that one request may be tried on. */
   maxAttempts: z.int().positive(),
-  /** Needs no key. */
+  /** The route requires no API key. */
   isAnonymous: z.boolean(),
-  /** A broken stream may go on at another backend server. */
+  /** An interrupted stream may be resumed on another backend server. */
   isResumable: z.boolean(),
 });
 
 const Pool = z.object({
   name: z.string(),
-  /** Connections that one backend server takes from all callers together. */
+  /** Limit on connections to one backend server, over all callers. */
   maxConnections: z.int().positive(),
   /** Absent for a plain service. */
   engine: EngineProfile.optional(),
@@ -40,9 +40,9 @@
 
 const GatewayWorkspace = z.object({
   name: z.string(),
-  /** SHA-256 of each key, in hex. */
+  /** SHA-256 of each API key, in hex. */
   keyHashes: z.array(z.string()),
-  /** Goes before the priority of a route. */
+  /** Overrides the priority of the route. */
   priority: z.int().nonnegative().optional(),
 });
 
@@ -57,7 +57,7 @@
   version: z.int().nonnegative(),
   routes: z.array(Route),
   pools: z.array(Pool),
-  /** Absent when no request needs a key. */
+  /** Absent when no route requires an API key. */
   workspaces: z.array(GatewayWorkspace).optional(),
   limits: CallerLimits,
 });
--- a/src/protocol/gateway_target.ts
+++ b/src/protocol/gateway_target.ts
@@ -10,9 +10,9 @@
   address: z.string(),
   zone: z.string(),
   slots: z.int().nonnegative(),
-  /** The model that it serves as the head of an open group. */
+  /** The model that the server serves as the head of an open group. */
   model: z.string().optional(),
-  /** Epoch of that group: the head of a new one has nothing of what broke before. */
+  /** Epoch of that group: the head of a new epoch has no state of the failed one. */
   epoch: z.int().optional(),
 });
 export type GatewayTarget = z.infer<typeof GatewayTarget>;
--- a/src/protocol/group.ts
+++ b/src/protocol/group.ts
@@ -7,14 +7,14 @@
 });
 
 /**
- * A committed replica group. Its epoch rises with every change. Epochs of two
- * groups say nothing about each other, so engines, which move between groups,
- * are fenced by another number. The first member admits work.
+ * A committed replica group, whose first member admits requests. Its epoch increases
+ * with every change. Epochs of different groups are not comparable, so engines, which
+ * move between groups, are fenced by `fencing` instead.
  */
 export const Group = z.object({
   id: z.string().max(128),
   epoch: z.int().positive(),
-  /** The number that orders to engines carry: the place in the log that set the group. */
+  /** Fencing token of orders to engines: the index of the log entry that set the group. */
   fencing: z.int().nonnegative(),
   kind: z.enum(['model', 'service']),
   /** Name of the model or service in the bundle. */
--- a/src/protocol/hello_message.ts
+++ b/src/protocol/hello_message.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** The first frame in each direction of every connection. */
+/** Handshake message: the first frame in each direction of every connection. */
 export const HelloMessage = z.object({
   type: z.literal('hello'),
   protocol: z.literal(1),
--- a/src/protocol/host_report.ts
+++ b/src/protocol/host_report.ts
@@ -1,13 +1,13 @@
 import {z} from 'zod';
 
-/** What a host process tells control about itself, a few times a second. */
+/** Status report that a host process sends to control several times a second. */
 export const HostReport = z.object({
   hostId: z.string().max(128),
   incarnation: z.string().max(64),
   zone: z.string(),
   domain: z.string(),
   address: z.string(),
-  /** The backend server that announced itself, if one did. */
+  /** The backend server that has announced itself, if any. */
   backend: z
     .object({
       kind: z.enum(['model', 'service']),
@@ -17,14 +17,14 @@
     .nullable(),
   isLeaving: z.boolean(),
   assignment: z.object({groupId: z.string(), epoch: z.int()}).nullable(),
-  /** What it was last told about its group; control repeats only what differs. */
+  /** The last known state of its group; control sends only a state that differs. */
   told: z.object({fencing: z.int(), isDraining: z.boolean()}).nullable(),
-  /** For a first member: the group serves. */
+  /** For a first member: whether the group serves. */
   isServing: z.boolean(),
-  /** For a first member: members that it does not hear. */
+  /** For a first member: members whose heartbeats are missing. */
   missing: z.array(z.string()),
   running: z.int().nonnegative(),
-  /** For a first member: it knows that its group drains, and nothing runs any more. */
+  /** For a first member: its group drains and no requests are running. */
   isDrained: z.boolean(),
   bundleVersion: z.int().nonnegative(),
 });
--- a/src/protocol/list_member_incarnations.ts
+++ b/src/protocol/list_member_incarnations.ts
@@ -1,10 +1,10 @@
 import {EngineGroup} from './engine_group';
 
 /**
- * Incarnations of a group's members in order, the head first.
+ * Lists the incarnations of a group's members in order, the head first.
  *
  * @example
- * const names = listMemberNames(group);
+ * const incarnations = listMemberIncarnations(group);
  */
 export function listMemberIncarnations(
   group: Pick<EngineGroup, 'members'>,
--- a/src/protocol/membership_message.ts
+++ b/src/protocol/membership_message.ts
@@ -1,4 +1,4 @@
-/** Messages between the first member of a group and its members. */
+/** Heartbeats between the first member of a group and the other members. */
 import {z} from 'zod';
 
 export const MembershipMessage = z.discriminatedUnion('type', [
@@ -14,7 +14,7 @@
     groupId: z.string().max(128),
     epoch: z.int().positive(),
     nonce: z.int().nonnegative(),
-    /** False when the answering host is in another group or its backend server is gone. */
+    /** False when the host is in another group or its backend server is gone. */
     isMember: z.boolean(),
   }),
 ]);
--- a/src/protocol/message_codec.ts
+++ b/src/protocol/message_codec.ts
@@ -1,4 +1,4 @@
-/** Encodes messages as CBOR and checks what comes in against their schemas. */
+/** Encodes messages as CBOR, and validates decoded ones against their schemas. */
 import {Encoder} from 'cbor-x';
 import {Message} from './message';
 import {ProtocolError} from './protocol_error';
@@ -9,7 +9,7 @@
   tagUint8Array: false,
 });
 
-/** Turns messages into bytes and back. */
+/** Codec for messages between processes. */
 export const messageCodec = {
   /** Encodes one message. */
   encode(message: Message): Uint8Array {
@@ -17,9 +17,9 @@
   },
 
   /**
-   * Decodes and checks one message.
+   * Decodes and validates one message.
    *
-   * @throws ProtocolError when the bytes are no CBOR or no known message
+   * @throws ProtocolError for invalid CBOR or an unknown message
    */
   decode(bytes: Uint8Array): Message {
     let value: unknown;
--- a/src/protocol/message_of.ts
+++ b/src/protocol/message_of.ts
@@ -1,4 +1,4 @@
-/** The member of a message union that has the given type. */
+/** Selects the member of a message union by its `type`. */
 export type MessageOf<
   Union extends {type: string},
   Type extends Union['type'],
--- a/src/protocol/model_demand.ts
+++ b/src/protocol/model_demand.ts
@@ -1,4 +1,4 @@
-/** What callers ask of one model, as gateways measure it. */
+/** Demand for one model, as measured by gateways. */
 import {z} from 'zod';
 
 const PerSecond = z.number().nonnegative();
@@ -6,7 +6,7 @@
 export const ModelDemand = z.object({
   requestsPerSecond: PerSecond,
   promptTokensPerSecond: PerSecond,
-  /** Tokens that the answers to these requests will have, by the length of answers lately. */
+  /** Expected output tokens of these requests, estimated from recent responses. */
   answerTokensPerSecond: PerSecond,
 });
 export type ModelDemand = z.infer<typeof ModelDemand>;
--- a/src/protocol/open_signed_bundle.ts
+++ b/src/protocol/open_signed_bundle.ts
@@ -5,10 +5,10 @@
 import {SignedBundle} from './signed_bundle';
 
 /**
- * Checks the signature and returns the bundle inside.
+ * Verifies the signature of a bundle and parses its document.
  *
  * @param trustedKeys public keys of the operators
- * @throws ProtocolError for an unknown key, a wrong signature or a wrong document
+ * @throws ProtocolError for an unknown key, an invalid signature or an invalid document
  * @example
  * const bundle = openSignedBundle(signed, [publicKey]);
  */
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -1,4 +1,4 @@
-/** A connection to another of the system's processes that speaks typed messages. */
+/** Connection to another process of the system that carries typed messages. */
 import {Stream} from 'most';
 import {PushSource} from '../common/push_source';
 import {FrameConnection} from '../transport/frame_connection';
@@ -9,18 +9,18 @@
 
 const HELLO_TIMEOUT_MS = 2_000;
 
-/** Who this process is, as it tells every peer. */
+/** Identity of this process, sent to every peer. */
 type Identity = Omit<HelloMessage, 'type' | 'protocol'>;
 
-/** Sends and receives checked messages; both sides say hello first. */
+/** Sends and receives validated messages after a handshake, in which both sides send a hello. */
 export class Peer {
-  /** Frames may arrive together with the hello, before the owner could listen. */
+  /** Buffers messages that arrive together with the hello, before the owner can subscribe. */
   private readonly received = PushSource.create<Message>({
     keepsUntilObserved: true,
   });
-  /** Messages after the hello. */
+  /** Messages after the handshake. */
   readonly messages: Stream<Message> = this.received.stream;
-  /** Settles once, when the connection is gone. */
+  /** Resolves when the connection is closed, with the error if it failed. */
   readonly closed: Promise<TransportError | undefined>;
   private remoteHello: HelloMessage | undefined;
 
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Greets the other side and waits for its hello.
+   * Sends the hello and waits for the peer's.
    *
-   * @throws TransportError when the other side says nothing sensible in time
+   * @throws TransportError when no valid hello arrives in time
    * @example
    * const peer = await Peer.create(connection, {program: 'entry', id: 'e1', incarnation});
    */
@@ -51,18 +51,20 @@
         peer.received.end();
         reject(failure ?? new TransportError('closed before its hello'));
       });
-      const greet = () => {
+      const completeHandshake = () => {
         clearTimeout(timer);
         resolve(peer);
       };
-      void connection.frames.observe(frame => peer.receive(frame, greet));
+      void connection.frames.observe(frame =>
+        peer.receive(frame, completeHandshake),
+      );
     });
   }
 
-  /** What the other side said about itself. */
+  /** The hello of the peer. */
   get remote(): HelloMessage {
     if (!this.remoteHello) {
-      throw new TransportError('the peer has not said hello');
+      throw new TransportError('the handshake with the peer is not complete');
     }
     return this.remoteHello;
   }
@@ -72,7 +74,7 @@
     return this.connection.isOpen;
   }
 
-  /** Sends one message; silently dropped when the connection is gone. */
+  /** Sends one message; drops it silently when the connection is closed. */
   send(message: Message): void {
     if (this.connection.isOpen) {
       this.connection.send(messageCodec.encode(message));
@@ -84,12 +86,12 @@
     this.connection.close();
   }
 
-  /** Closes after what was sent has left. */
+  /** Closes after the queued messages have been sent. */
   end(): void {
     this.connection.end();
   }
 
-  private receive(frame: Buffer, greet: () => void): void {
+  private receive(frame: Buffer, onHello: () => void): void {
     let message: Message;
     try {
       message = messageCodec.decode(frame);
@@ -110,6 +112,6 @@
       return;
     }
     this.remoteHello = message;
-    greet();
+    onHello();
   }
 }
--- a/src/protocol/permit_verdict.ts
+++ b/src/protocol/permit_verdict.ts
@@ -1,12 +1,12 @@
 import {z} from 'zod';
 
-/** The leader's answer to a gateway that would send one request to a backend server with a limit. */
+/** Answer of the leader to a gateway that requests a permit for one request to a rate-limited backend server. */
 export const PermitVerdict = z.object({
-  /** `free`: it names no limit any more. */
+  /** `free`: the server does not advertise a limit any more. */
   kind: z.enum(['granted', 'later', 'free']),
-  /** Until the gateway should ask again, in milliseconds. */
+  /** Milliseconds until the gateway should ask again. */
   pauseMs: z.number().nonnegative(),
-  /** Between two permits for this gateway, in milliseconds. */
+  /** Milliseconds between two permits for this gateway. */
   intervalMs: z.number().nonnegative(),
 });
 export type PermitVerdict = z.infer<typeof PermitVerdict>;
--- a/src/protocol/protocol_error.ts
+++ b/src/protocol/protocol_error.ts
@@ -1,4 +1,4 @@
 import {VError} from 'verror';
 
-/** A failure of messages: an unknown shape, a wrong signature, no answer in time. */
+/** A protocol failure, such as an invalid message, an invalid signature or a call without an answer in time. */
 export class ProtocolError extends VError {}
--- a/src/protocol/raft_message.ts
+++ b/src/protocol/raft_message.ts
@@ -1,4 +1,4 @@
-/** Messages of the agreement between control processes. */
+/** Raft messages between control processes. */
 import {z} from 'zod';
 import {LogEntry} from './log_entry';
 
@@ -11,7 +11,7 @@
     term: Term,
     lastIndex: Index,
     lastTerm: Term,
-    /** A trial that changes no state: would you vote for me? */
+    /** A pre-vote, which does not change the state of the receiver. */
     isPreVote: z.boolean(),
   }),
   z.object({
@@ -19,7 +19,7 @@
     term: Term,
     isGranted: z.boolean(),
     isPreVote: z.boolean(),
-    /** Why it is not granted, for the asker's log. */
+    /** Why the vote is not granted, for the candidate's log. */
     refusal: z.string().optional(),
   }),
   z.object({
@@ -29,14 +29,14 @@
     previousTerm: Term,
     entries: z.array(LogEntry),
     commitIndex: Index,
-    /** Numbers the leader's rounds, so that it knows how fresh an answer is. */
+    /** Number of the leader's replication round, which tells it how recent an answer is. */
     round: z.int().nonnegative(),
   }),
   z.object({
     type: z.literal('append-answer'),
     term: Term,
     isMatch: z.boolean(),
-    /** The last index known to match, or the highest worth trying. */
+    /** The last matching index, or the highest index to try next. */
     matchIndex: Index,
     round: z.int().nonnegative(),
   }),
@@ -45,7 +45,7 @@
     term: Term,
     lastIndex: Index,
     lastTerm: Term,
-    /** Voters as of `lastIndex`, name to identity. */
+    /** Voters as of `lastIndex`; maps names to identities. */
     voters: z.record(z.string(), z.string()),
     state: z.custom<Uint8Array>(value => value instanceof Uint8Array),
     round: z.int().nonnegative(),
--- a/src/protocol/request_message.ts
+++ b/src/protocol/request_message.ts
@@ -2,7 +2,7 @@
  * Messages between an entry and the host process that runs its requests.
  *
  * `stream` numbers one attempt on one connection; `sequence` numbers its data
- * frames from 0, and `end` carries their count, so that a gap is noticed.
+ * frames from 0, and `end` carries their count, so that a gap is detected.
  */
 import {z} from 'zod';
 import {RequestOutcome} from './request_outcome';
@@ -16,15 +16,15 @@
   z.object({
     type: z.literal('dispatch'),
     stream: Stream,
-    /** Names one attempt at one request in the whole system. */
+    /** Globally unique ID of one attempt at one request. */
     attemptId: AttemptId,
     groupId: z.string().max(128),
     epoch: z.int().positive(),
-    /** The host process that it is meant for; another refuses it. */
+    /** The host process that the request is for; any other rejects it. */
     incarnation: z.string().max(64),
-    /** Milliseconds on the receiver's clock after which it must not start. */
+    /** Milliseconds on the receiver's clock after which the request must not start. */
     startBy: z.number(),
-    /** Bytes of answer that may be sent before more credit arrives. */
+    /** Flow control: response bytes that may be sent before more credit arrives. */
     credit: z.int().positive(),
     method: z.string().max(16),
     path: z.string().max(8192),
@@ -78,7 +78,7 @@
   z.object({
     type: z.literal('tombstone-answer'),
     attemptId: AttemptId,
-    /** `never-started` also promises that it never will be. */
+    /** `never-started` also guarantees that the attempt will never start. */
     verdict: z.enum(['never-started', 'running', 'ended', 'forgotten']),
     outcome: RequestOutcome.optional(),
   }),
--- a/src/protocol/request_outcome.ts
+++ b/src/protocol/request_outcome.ts
@@ -1,11 +1,11 @@
 import {z} from 'zod';
 
 /**
- * The only four outcomes that a caller can be told.
+ * The outcomes of a request that are reported to its caller.
  *
- * - `answered`: the whole answer was delivered.
- * - `not-run`: truly never started; safe to ask again.
- * - `failed`: ran, and failed in whole or in part.
+ * - `answered`: the complete response was delivered.
+ * - `not-run`: certainly never started; safe to retry.
+ * - `failed`: ran, and failed completely or partially.
  * - `unknown`: may have run.
  */
 export const RequestOutcome = z.enum([
--- a/src/protocol/rules_codec.ts
+++ b/src/protocol/rules_codec.ts
@@ -1,4 +1,4 @@
-/** Encodes rules by themselves: what goes to many gateways is made once. */
+/** Encodes gateway rules separately from messages, so that they are encoded once for many gateways. */
 import {Encoder} from 'cbor-x';
 import {GatewayRules} from './gateway_rules';
 import {ProtocolError} from './protocol_error';
@@ -9,16 +9,16 @@
   tagUint8Array: false,
 });
 
-/** Turns rules into bytes and back. */
+/** Codec for gateway rules. */
 export const rulesCodec = {
   encode(rules: GatewayRules): Uint8Array {
     return encoder.encode(rules);
   },
 
   /**
-   * Decodes and checks rules.
+   * Decodes and validates rules.
    *
-   * @throws ProtocolError when the bytes hold none
+   * @throws ProtocolError when the bytes are no valid rules
    */
   decode(bytes: Uint8Array): GatewayRules {
     const parsed = GatewayRules.safeParse(encoder.decode(bytes));
--- a/src/protocol/sign_bundle.ts
+++ b/src/protocol/sign_bundle.ts
@@ -5,7 +5,7 @@
 import {SignedBundle} from './signed_bundle';
 
 /**
- * Signs a checked bundle with an operator's private Ed25519 key.
+ * Signs a validated bundle with an operator's private Ed25519 key.
  *
  * @example
  * const signed = signBundle(Bundle.parse(document), createPrivateKey(pem));
--- a/src/protocol/sse_splitter.ts
+++ b/src/protocol/sse_splitter.ts
@@ -1,19 +1,19 @@
-/** Cuts a stream of server-sent events at event boundaries. */
+/** Splits a stream of server-sent events at event boundaries. */
 
 const BOUNDARY = Buffer.from('\n\n');
-const END_MARK = Buffer.from('data: [DONE]\n\n');
+const END_MARKER = Buffer.from('data: [DONE]\n\n');
 const LINE_FEED = 10;
 const NOT_FOUND = -1;
 
-/** Yields whole events only, so that a break never leaves half an event. */
+/** Returns complete events only, so that an interrupted stream never ends within an event. */
 export class SseSplitter {
   private pending: Buffer = Buffer.alloc(0);
-  private hasEndMark = false;
+  private hasEndMarker = false;
 
   private constructor() {}
 
   /**
-   * Creates a splitter for one answer.
+   * Creates a splitter for one response.
    *
    * @example
    * const splitter = SseSplitter.create();
@@ -23,17 +23,17 @@
     return new SseSplitter();
   }
 
-  /** True once the mark of a normal end went through and nothing is left over. */
+  /** True after the `[DONE]` event, when no bytes are pending. */
   get isComplete(): boolean {
-    return this.hasEndMark && this.pending.length === 0;
+    return this.hasEndMarker && this.pending.length === 0;
   }
 
-  /** Bytes held back because their event is not whole. */
+  /** Number of buffered bytes of an incomplete event. */
   get pendingBytes(): number {
     return this.pending.length;
   }
 
-  /** Adds a chunk; returns the whole events so far as one piece, maybe empty. */
+  /** Adds a chunk; returns the events that it completes in one buffer, which may be empty. */
   split(chunk: Buffer): Buffer {
     const bytes =
       this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
@@ -44,15 +44,15 @@
     }
     const end = at + BOUNDARY.length;
     this.pending = bytes.subarray(end);
-    const whole = bytes.subarray(0, end);
-    this.hasEndMark = isEndMark(whole);
-    return whole;
+    const complete = bytes.subarray(0, end);
+    this.hasEndMarker = isEndMarker(complete);
+    return complete;
   }
 }
 
-/** The last event is the mark itself, not an event whose text ends like it. */
-function isEndMark(events: Buffer): boolean {
-  const at = events.length - END_MARK.length;
+/** True when the last event is the end marker, and not an event whose text ends with it. */
+function isEndMarker(events: Buffer): boolean {
+  const at = events.length - END_MARKER.length;
   const isAtLineStart = at === 0 || events[at - 1] === LINE_FEED;
-  return at >= 0 && isAtLineStart && events.subarray(at).equals(END_MARK);
+  return at >= 0 && isAtLineStart && events.subarray(at).equals(END_MARKER);
 }
--- a/src/protocol/suspect_update.ts
+++ b/src/protocol/suspect_update.ts
@@ -1,16 +1,16 @@
 import {z} from 'zod';
 
-/** Which requests gateways must hold back, or what changed of it. */
+/** The requests that gateways must hold back because they may crash backend servers, or the changes to that list. */
 export const SuspectUpdate = z.object({
-  /** Rises with each change, whichever process leads. */
+  /** Increases with each change, also across leaders. */
   version: z.int(),
-  /** False where only what changed is told. */
+  /** False for an update with only the changes. */
   isWhole: z.boolean(),
-  /** Sent on trial only. */
+  /** Requests that may be sent only as a trial. */
   suspected: z.array(z.string()),
-  /** Never sent. */
+  /** Requests that must not be sent. */
   convicted: z.array(z.string()),
-  /** Sent like any other again. */
+  /** Requests without restrictions again. */
   freed: z.array(z.string()),
 });
 export type SuspectUpdate = z.infer<typeof SuspectUpdate>;
