--- a/test/protocol/check_gateway_rules.test.ts
+++ b/test/protocol/check_gateway_rules.test.ts
@@ -35,40 +35,40 @@
   return {routes: [{...ROUTE, ...changes}]};
 }
 
-describe('the rules of the gateway', () => {
-  test('pass when every route leads to a pool', () => {
+describe('checkGatewayRules', () => {
+  test('accepts routes with known pools', () => {
     expect(check({})).not.toThrow();
   });
 
-  const beside = {...ROUTE, name: 'q', host: 'h.EXAMPLE'};
+  const duplicate = {...ROUTE, name: 'q', host: 'h.EXAMPLE'};
   const workspaces = [
     {name: 'w', keyHashes: ['d']},
     {name: 'x', keyHashes: ['d']},
   ];
-  const wrong: Array<[string, Partial<GatewayRules>, string]> = [
-    ['no pool at all', route({targets: []}), 'route r names no pool'],
+  const invalid: Array<[string, Partial<GatewayRules>, string]> = [
+    ['no pool', route({targets: []}), 'route r names no pool'],
     [
       'an unknown pool',
       route({targets: [{pool: 'u', weight: 1}]}),
       'route r names the unknown pool "u"',
     ],
     [
-      'weights of 0 only',
+      'only weights of 0',
       route({targets: [{pool: 'p', weight: 0}]}),
       'the weights of route r add up to 0',
     ],
     [
-      'two routes at one place',
-      {routes: [ROUTE, beside]},
+      'two routes with the same host and path prefix',
+      {routes: [ROUTE, duplicate]},
       'two routes stand at h.example /a/',
     ],
-    ['a key of two workspaces', {workspaces}, 'w and x share a key'],
+    ['a key that two workspaces share', {workspaces}, 'w and x share a key'],
   ];
-  test.each(wrong)('are refused with %s', (_, changes, reason) => {
+  test.each(invalid)('rejects %s', (_, changes, reason) => {
     expect(check(changes)).toThrow(reason);
   });
 
-  test('may name a key twice in one workspace', () => {
+  test('accepts a key that is listed twice in one workspace', () => {
     const twice = [{name: 'w', keyHashes: ['d', 'd']}];
     expect(check({workspaces: twice})).not.toThrow();
   });
--- a/test/protocol/control_client.test.ts
+++ b/test/protocol/control_client.test.ts
@@ -1,17 +1,16 @@
 /**
- * Symptom: a change of configuration that was confirmed 1.6 s after the leader had
- * been frozen was not in force at some gateways 2 s later: they served by version
- * 81 when 88 was confirmed, or refused a route that had been added.
- * Sequence: the leader and one more control process stood still. The gateways
- * left the silent leader after a second, met no process that knew the new one yet,
- * and came to the two that stood still, one after the other.
- * Cause: a machine whose process stands still goes on taking connections. The wait
- * for its hello, 2 s each, had no part in the time of a try, so the gateways were
- * without news for up to 4.6 s and went on by their old rules, which a
- * confirmation allows for 4.25 s.
- * What settled it: "no control leader answered … no hello in time" 2.9 s after the
- * freeze, the request served by the old version at 3.7 s, refusals for want of a
- * confirmation 4.5 s old, and the new rules only with the thaw.
+ * Guards against frozen control processes that keep a client from the leader.
+ *
+ * The machine of a frozen process still accepts connections. The client waited up to
+ * 2 s for the hello of each one, which did not count towards the timeout of the
+ * attempt. When the leader and one more process were frozen, gateways got no news for
+ * up to 4.6 s and used their old rules for the 4.25 s that a confirmation allows: 2 s
+ * after a change was confirmed, 1.6 s into the freeze, some still used version 81
+ * instead of 88, or refused an added route.
+ *
+ * Seen in the log: "no control leader answered … no hello in time" 2.9 s after the
+ * freeze, a request served by the old version at 3.7 s, then refusals because the
+ * last confirmation was 4.5 s old; the new rules arrived only after the thaw.
  */
 import * as net from 'node:net';
 import {afterEach, expect, test} from 'vitest';
@@ -20,7 +19,7 @@
 import {Peer} from '../../src/protocol/peer';
 import {FrameServer} from '../../src/transport/frame_server';
 
-/** Shorter than two hellos that are waited for in full, much longer than two that are not. */
+/** Shorter than two full handshake timeouts, much longer than two hedged attempts. */
 const ASK_MS = 3_500;
 const closers: Array<() => unknown> = [];
 
@@ -30,7 +29,7 @@
   }
 });
 
-/** A control process that leads, or whose machine takes connections while it stands still. */
+/** Starts a control process that leads, or a frozen one whose machine still accepts connections. */
 async function startControl(isFrozen: boolean): Promise<string> {
   const identity = {program: 'control', id: 'c', incarnation: 'i'} as const;
   const answer = (call: number): Message => ({
@@ -60,23 +59,26 @@
   return `127.0.0.1:${server.port}`;
 }
 
-/** A link that carries nothing at first. */
-async function startSlowLink(to: string, afterMs: number): Promise<string> {
-  const [host, port] = to.split(':');
+/** Starts a proxy that forwards nothing for the first `delayMs`. */
+async function startSlowProxy(
+  address: string,
+  delayMs: number,
+): Promise<string> {
+  const [host, port] = address.split(':');
   const server = net.createServer(socket => {
     socket.on('error', () => undefined);
     setTimeout(() => {
-      const far = net.connect(Number(port), host);
-      far.on('error', () => undefined);
-      socket.pipe(far).pipe(socket);
-    }, afterMs);
+      const upstream = net.connect(Number(port), host);
+      upstream.on('error', () => undefined);
+      socket.pipe(upstream).pipe(socket);
+    }, delayMs);
   });
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   closers.push(() => server.close());
   return `127.0.0.1:${(server.address() as net.AddressInfo).port}`;
 }
 
-test('control processes that stand still do not keep the newest from who asks', async () => {
+test('a client reaches the leader although the other control processes are frozen', async () => {
   const addresses = await Promise.all([true, true, false].map(startControl));
   const client = ControlClient.create({
     addresses,
@@ -90,8 +92,8 @@
   ).resolves.toMatchObject({source: 'newest'});
 });
 
-test('a leader behind a slow link is reached all the same', async () => {
-  const addresses = [await startSlowLink(await startControl(false), 600)];
+test('a client reaches a leader behind a slow connection', async () => {
+  const addresses = [await startSlowProxy(await startControl(false), 600)];
   const client = ControlClient.create({
     addresses,
     hedgeDelayMs: 1_000,
--- a/test/protocol/decoders.test.ts
+++ b/test/protocol/decoders.test.ts
@@ -10,7 +10,7 @@
 
 const SEED = 20_261_202;
 
-function decodeOrRefuse(bytes: Uint8Array): void {
+function decodeOrReject(bytes: Uint8Array): void {
   try {
     messageCodec.decode(bytes);
   } catch (error) {
@@ -18,58 +18,58 @@
   }
 }
 
-describe('decoders of what comes from outside', () => {
-  test('random bytes are refused with an error of the protocol', () => {
+describe('decoders of untrusted input', () => {
+  test('random bytes are rejected with a ProtocolError', () => {
     fc.assert(
       fc.property(fc.uint8Array({maxLength: 400}), bytes =>
-        decodeOrRefuse(bytes),
+        decodeOrReject(bytes),
       ),
       {numRuns: 3_000, seed: SEED},
     );
   });
 
-  test('any CBOR that is no message is refused', () => {
+  test('CBOR that is no message is rejected', () => {
     const encoder = new Encoder({useRecords: false});
     fc.assert(
       fc.property(fc.object({maxDepth: 4}), value =>
-        decodeOrRefuse(encoder.encode(value)),
+        decodeOrReject(encoder.encode(value)),
       ),
       {numRuns: 1_000, seed: SEED},
     );
   });
 
-  test('a message with one changed byte is decoded or refused, never worse', () => {
+  test('a message with one changed byte is decoded or rejected with a ProtocolError', () => {
     const message = {
       type: 'data',
       stream: 3,
       sequence: 9,
       bytes: Buffer.from('token'),
     } as const;
-    const whole = Buffer.from(messageCodec.encode(message));
+    const encoded = Buffer.from(messageCodec.encode(message));
     fc.assert(
-      fc.property(fc.nat(whole.length - 1), fc.nat(255), (at, value) => {
-        const changed = Buffer.from(whole);
+      fc.property(fc.nat(encoded.length - 1), fc.nat(255), (at, value) => {
+        const changed = Buffer.from(encoded);
         changed[at] = value;
-        decodeOrRefuse(changed);
+        decodeOrReject(changed);
       }),
       {numRuns: 2_000, seed: SEED},
     );
   });
 
-  test('deep nesting is refused before it is decoded', () => {
+  test('deep nesting is rejected with a ProtocolError', () => {
     const depth = 200_000;
     const nested = Buffer.concat([Buffer.alloc(depth, 0x81), Buffer.from([0])]);
 
     expect(() => messageCodec.decode(nested)).toThrow(ProtocolError);
   });
 
-  test('a short frame that promises a huge list is refused', () => {
-    const promise = Buffer.from([0x9a, 0xff, 0xff, 0xff, 0xff]);
+  test('a short frame that declares a huge array is rejected', () => {
+    const frame = Buffer.from([0x9a, 0xff, 0xff, 0xff, 0xff]);
 
-    expect(() => messageCodec.decode(promise)).toThrow(ProtocolError);
+    expect(() => messageCodec.decode(frame)).toThrow(ProtocolError);
   });
 
-  test('frames come out whole however the bytes are cut', () => {
+  test('frames are complete for any chunk boundaries', () => {
     fc.assert(
       fc.property(
         fc.array(fc.uint8Array({maxLength: 50}), {maxLength: 10}),
@@ -98,7 +98,7 @@
     );
   });
 
-  test('events come out whole however the bytes are cut, and the end mark counts only as the last event', () => {
+  test('events are complete for any chunk boundaries, and the end marker counts only as the last event', () => {
     const text = 'data: {"a":"data: [DONE]"}\n\ndata: b\n\ndata: [DONE]\n\n';
     fc.assert(
       fc.property(fc.integer({min: 1, max: 30}), size => {
@@ -119,7 +119,7 @@
     );
   });
 
-  test('announcements and signed bundles with any content are checked, not trusted', () => {
+  test('arbitrary values are no valid announcement or signed bundle', () => {
     fc.assert(
       fc.property(fc.anything(), value => {
         expect(SignedBundle.safeParse(value).success).toBe(false);
--- a/test/protocol/leader_candidates.test.ts
+++ b/test/protocol/leader_candidates.test.ts
@@ -1,44 +1,50 @@
 import {expect, test} from 'vitest';
 import {LeaderCandidates} from '../../src/protocol/leader_candidates';
 
-function takeAll(order: LeaderCandidates): string[] {
+function takeRemaining(candidates: LeaderCandidates): string[] {
   const taken: string[] = [];
   for (
-    let address = order.takeNext();
+    let address = candidates.takeNext();
     address !== undefined;
-    address = order.takeNext()
+    address = candidates.takeNext()
   ) {
     taken.push(address);
   }
   return taken;
 }
 
-test('everybody is asked once a round, whatever those that do not lead tell', () => {
-  const order = LeaderCandidates.create(['a', 'b', 'c']);
-
-  const first = order.takeNext();
-  order.add(['a', 'b', 'c', 'x']);
-  const second = order.takeNext();
-  order.add(['a', 'b', 'c', 'y']);
-
-  expect([first, second, ...takeAll(order)]).toEqual(['a', 'b', 'c', 'x', 'y']);
+test('every process is asked once a round, whatever addresses followers report', () => {
+  const candidates = LeaderCandidates.create(['a', 'b', 'c']);
+
+  const first = candidates.takeNext();
+  candidates.add(['a', 'b', 'c', 'x']);
+  const second = candidates.takeNext();
+  candidates.add(['a', 'b', 'c', 'y']);
+
+  expect([first, second, ...takeRemaining(candidates)]).toEqual([
+    'a',
+    'b',
+    'c',
+    'x',
+    'y',
+  ]);
 });
 
-test('the leader that is told comes next, unless it was asked in this round', () => {
-  const order = LeaderCandidates.create(['a', 'b', 'c']);
+test('the reported leader is asked next, unless it was already asked in this round', () => {
+  const candidates = LeaderCandidates.create(['a', 'b', 'c']);
 
-  order.takeNext();
-  order.add(['c', 'b']);
+  candidates.takeNext();
+  candidates.add(['c', 'b']);
 
-  expect(takeAll(order)).toEqual(['c', 'b']);
+  expect(takeRemaining(candidates)).toEqual(['c', 'b']);
 });
 
-test('a round leaves out those whose answer may still come', () => {
-  const order = LeaderCandidates.create(['a', 'b']);
-  takeAll(order);
-  order.finish('b');
+test('a new round excludes addresses with an attempt in flight', () => {
+  const candidates = LeaderCandidates.create(['a', 'b']);
+  takeRemaining(candidates);
+  candidates.finish('b');
 
-  order.startRound();
+  candidates.startRound();
 
-  expect(takeAll(order)).toEqual(['b']);
+  expect(takeRemaining(candidates)).toEqual(['b']);
 });
--- a/test/protocol/leader_search.test.ts
+++ b/test/protocol/leader_search.test.ts
@@ -1,17 +1,18 @@
 /**
- * A gateway refused a route that had been added and confirmed over two seconds
- * before, while it could reach the leader, and calls that change the rules found
- * no leader while all was calm. Both search with the same client. It tried control
- * processes one after the other and waited for each; after a round in vain it
- * waited twice as long, up to 2 s, and kept that patience. And whenever a process
- * that does not lead told another list of control processes than the one before,
- * the search began again with the first: two that tell different lists led it in
- * circles, and the third, which led, was never asked.
+ * Guards against a search that misses the leader although it is reachable.
  *
- * What settled it, with three processes of which the last one leads: the line of the
- * first search counts 40 tries in 956 ms, "…237 does not lead, …237 does not lead,
- * …267 does not lead, …237 does not lead", and none at the third. After 3.7 s in which
- * nobody said hello, a call that had 900 ms ended with "tries: …905 unreached 1602".
+ * The client asked control processes one by one and waited for each; after a round in
+ * vain it doubled the timeout, up to 2 s, and kept it. And whenever a follower reported
+ * another list of control processes than the previous one, the search restarted with
+ * the first: two followers with different lists kept it among themselves, and the
+ * third process, the leader, was never asked. A gateway refused a route over two
+ * seconds after its confirmation, and configuration calls found no leader although
+ * nothing had failed.
+ *
+ * Seen with three processes, the last one leading: the report of the first search has
+ * 40 attempts in 956 ms, "…237 does not lead, …237 does not lead, …267 does not lead,
+ * …237 does not lead", and none at the third. After 3.7 s without a hello from any
+ * process, a call with a timeout of 900 ms ended with "tries: …905 unreached 1602".
  */
 import {afterEach, expect, test} from 'vitest';
 import {ControlClient} from '../../src/protocol/control_client';
@@ -20,10 +21,10 @@
 import {FrameConnection} from '../../src/transport/frame_connection';
 import {FrameServer} from '../../src/transport/frame_server';
 
-/** What a caller of the operator's interface has in all. */
+/** Timeout of a call of the operator API. */
 const CALL_MS = 900;
-/** Two rounds of three machines that stand still, the second with more patience. */
-const NOBODY_ANSWERS_MS = 3_000;
+/** Two rounds over three frozen machines, the second with a longer timeout. */
+const OUTAGE_MS = 3_000;
 const identity = {program: 'control', id: 'c', incarnation: 'i'} as const;
 const closers: Array<() => unknown> = [];
 
@@ -33,7 +34,7 @@
   }
 });
 
-/** A control process: it takes connections, and answers unless it stands still. */
+/** A control process that accepts connections, and answers unless it is frozen. */
 interface Control {
   readonly address: string;
   answer: ((call: number) => Message) | undefined;
@@ -64,7 +65,7 @@
   return control;
 }
 
-function tellNewest(call: number): Message {
+function createAnswer(call: number): Message {
   return {type: 'source-answer', call, source: 'newest'};
 }
 
@@ -78,11 +79,11 @@
   return client;
 }
 
-test('processes that do not know the leader and tell different lists do not keep the search among themselves', async () => {
+test('followers that report different lists do not keep the search among themselves', async () => {
   const [first, second, leader] = await Promise.all([
     startControl(),
     startControl(),
-    startControl(tellNewest),
+    startControl(createAnswer),
   ]);
   const addresses = [first, second, leader].map(({address}) => address);
   first.answer = call => ({
@@ -102,7 +103,7 @@
   ).resolves.toMatchObject({source: 'newest'});
 });
 
-test('machines that stand still do not use up the time of a call, also after a time in which nobody answered', async () => {
+test('frozen machines do not use up the timeout of a call, also after an outage without any answer', async () => {
   const [first, second, leader] = await Promise.all([
     startControl(),
     startControl(),
@@ -111,10 +112,10 @@
   const addresses = [first, second, leader].map(({address}) => address);
   const client = createClient(addresses);
   await client
-    .ask<'source-ask'>({type: 'source-ask'}, NOBODY_ANSWERS_MS)
+    .ask<'source-ask'>({type: 'source-ask'}, OUTAGE_MS)
     .catch(() => undefined);
 
-  leader.answer = tellNewest;
+  leader.answer = createAnswer;
 
   await expect(
     client.ask<'source-ask'>({type: 'source-ask'}, CALL_MS),
--- a/test/protocol/peer.test.ts
+++ b/test/protocol/peer.test.ts
@@ -34,10 +34,10 @@
 });
 
 test('a peer that does not say hello first is disconnected', async () => {
-  const refusals: string[] = [];
+  const errors: string[] = [];
   const server = await listen(connection => {
     Peer.create(connection, hello).catch((error: Error) =>
-      refusals.push(error.message),
+      errors.push(error.message),
     );
   });
   const connection = await FrameConnection.connect({
@@ -47,22 +47,22 @@
   connection.send(messageCodec.encode({type: 'status-ask', call: 7}));
   await connection.closed;
 
-  expect(refusals).toEqual(['the peer did not say hello first']);
+  expect(errors).toEqual(['the peer did not say hello first']);
   await server.close();
 });
 
-test('a frame that announces more than the limit ends the connection at once', async () => {
-  const refusals: string[] = [];
+test('a length prefix over the limit closes the connection at once', async () => {
+  const errors: string[] = [];
   const server = await listen(connection => {
     Peer.create(connection, hello).catch((error: Error) =>
-      refusals.push(error.message),
+      errors.push(error.message),
     );
   });
   const socket = net.connect(server.port, '127.0.0.1');
   socket.write(Buffer.from([0xff, 0xff, 0xff, 0xff]));
   await new Promise(resolve => socket.resume().on('close', resolve));
 
-  expect(refusals).toEqual([
+  expect(errors).toEqual([
     'the peer broke the framing: a frame of 4294967295 bytes is over the limit of 33554432 bytes',
   ]);
   await server.close();
--- a/test/protocol/shared_leader_search.test.ts
+++ b/test/protocol/shared_leader_search.test.ts
@@ -1,12 +1,12 @@
 /**
- * Each call of a backend server or an operator searched for the leader by itself and
- * asked every control process each 50 ms. Dozens of calls wait at each process while
- * there is no leader, so the processes answered each other's questions when they
- * should elect. It was seen while a day that ended without a leader was looked into,
- * whose cause it was not: that day used less processor time than others.
+ * Guards against a load peak on control processes while there is no leader.
  *
- * What settled it: in 600 ms one call put 12 questions to a process that does not
- * lead, and forty put 480; together they put 12.
+ * Each waiting call of a backend server or an operator searched for the leader by
+ * itself and asked every control process every 50 ms. Dozens of calls wait at each
+ * process then, so the processes were busy with these requests when they should elect
+ * a leader. In 600 ms one call sent 12 requests to a follower and forty calls sent 480;
+ * with a shared search they send 12. Noticed while examining a day that ended without
+ * a leader, which it did not cause: that day used less CPU time than others.
  */
 import {afterEach, expect, test} from 'vitest';
 import {ControlClient} from '../../src/protocol/control_client';
@@ -23,9 +23,9 @@
   }
 });
 
-/** Counts the questions that so many calls at the same moment put to a process that does not lead. */
-async function countQuestions(calls: number): Promise<number> {
-  let questions = 0;
+/** Counts the requests that a follower gets from this number of concurrent calls. */
+async function countRequests(calls: number): Promise<number> {
+  let requests = 0;
   const server = await FrameServer.create({
     host: '127.0.0.1',
     port: 0,
@@ -38,7 +38,7 @@
         .then(peer =>
           peer.messages.observe(message => {
             if ('call' in message) {
-              questions += 1;
+              requests += 1;
               peer.send({type: 'not-leader', call: message.call});
             }
           }),
@@ -51,16 +51,16 @@
     identity: {program: 'operator', id: 'o', incarnation: 'i'},
   });
   closers.push(() => client.close());
-  const asks = Array.from({length: calls}, () =>
+  const pending = Array.from({length: calls}, () =>
     client.ask<'source-ask'>({type: 'source-ask'}, CALL_MS),
   );
-  await Promise.allSettled(asks);
-  return questions;
+  await Promise.allSettled(pending);
+  return requests;
 }
 
-test('many calls that wait for a leader ask no more than one does', async () => {
-  const ofOne = await countQuestions(1);
-  const ofMany = await countQuestions(CALLS);
-  expect(ofOne).toBeGreaterThan(0);
-  expect(ofMany).toBeLessThan(3 * ofOne);
+test('many calls that wait for a leader share one search', async () => {
+  const requestsOfOne = await countRequests(1);
+  const requestsOfMany = await countRequests(CALLS);
+  expect(requestsOfOne).toBeGreaterThan(0);
+  expect(requestsOfMany).toBeLessThan(3 * requestsOfOne);
 });
--- a/test/protocol/unresponsive_leader.test.ts
+++ b/test/protocol/unresponsive_leader.test.ts
@@ -1,16 +1,18 @@
 /**
- * After the leader had been cut off in silence, hosts and entries found no leader any
- * more, although another one stood within a second: "leader control-2, hosts [],
- * entries []" for 30 s. A call whose whole time is no longer than its patience with
- * the leader ended before that patience did, and left the silent connection to the
- * next call, which did the same.
+ * Guards against clients that keep using a dead connection to an old leader.
+ *
+ * After a network partition without connection errors, hosts and entries found no
+ * leader for 30 s ("leader control-2, hosts [], entries []"), although a new one was
+ * elected within a second. A call whose timeout was not longer than the time after
+ * which the leader is searched for again failed first, and left the dead connection
+ * to the next call, which failed the same way.
  */
 import {afterEach, expect, test} from 'vitest';
 import {ControlClient} from '../../src/protocol/control_client';
 import {Peer} from '../../src/protocol/peer';
 import {FrameServer} from '../../src/transport/frame_server';
 
-const PATIENCE_MS = 300;
+const HEDGE_DELAY_MS = 300;
 const closers: Array<() => unknown> = [];
 
 afterEach(async () => {
@@ -19,7 +21,7 @@
   }
 });
 
-/** A control process that leads until it falls silent on the connections that it has. */
+/** Starts a control process that stops answering, on open connections, when it does not lead. */
 async function startControl(source: string, isLeading: () => boolean) {
   const server = await FrameServer.create({
     host: '127.0.0.1',
@@ -43,7 +45,7 @@
   return `127.0.0.1:${server.port}`;
 }
 
-test('a leader that fell silent costs one call its time and not the next', async () => {
+test('a leader that stops answering costs one call its timeout, and not the next call', async () => {
   let leading = 'first';
   const addresses = await Promise.all([
     startControl('first', () => leading === 'first'),
@@ -51,7 +53,7 @@
   ]);
   const client = ControlClient.create({
     addresses,
-    hedgeDelayMs: PATIENCE_MS,
+    hedgeDelayMs: HEDGE_DELAY_MS,
     identity: {program: 'host', id: 'h', incarnation: 'i'},
   });
   closers.push(() => client.close());
@@ -60,7 +62,7 @@
   expect(await ask(5_000)).toMatchObject({source: 'first'});
 
   leading = 'second';
-  await ask(PATIENCE_MS).catch(() => undefined);
+  await ask(HEDGE_DELAY_MS).catch(() => undefined);
 
-  expect(await ask(PATIENCE_MS)).toMatchObject({source: 'second'});
+  expect(await ask(HEDGE_DELAY_MS)).toMatchObject({source: 'second'});
 });
--- a/test/transport/tls.test.ts
+++ b/test/transport/tls.test.ts
@@ -22,17 +22,17 @@
 const hello = {program: 'entry', id: 'e1', incarnation: 'i1'} as const;
 
 let server: FrameServer;
-const greeted: string[] = [];
+const connectedIds: string[] = [];
 
 beforeEach(async () => {
-  greeted.length = 0;
+  connectedIds.length = 0;
   server = await FrameServer.create({
     host: '127.0.0.1',
     port: 0,
     security: trusted,
     onConnection: connection => {
       Peer.create(connection, {program: 'host', id: 'h1', incarnation: 'i2'})
-        .then(peer => greeted.push(peer.remote.id))
+        .then(peer => connectedIds.push(peer.remote.id))
         .catch(() => undefined);
     },
   });
@@ -40,28 +40,28 @@
 
 afterEach(() => server.close());
 
-test('a process with a certificate of the authority is greeted', async () => {
+test('a process with a certificate of the authority is accepted', async () => {
   const peer = await connectPeer(`127.0.0.1:${server.port}`, hello, trusted);
 
   expect(peer.remote.id).toBe('h1');
   peer.close();
 });
 
-test('a process with a certificate of its own making is refused', async () => {
+test('a process with a self-signed certificate is rejected', async () => {
   await expect(
     connectPeer(`127.0.0.1:${server.port}`, hello, stranger),
   ).rejects.toThrow();
-  expect(greeted).toEqual([]);
+  expect(connectedIds).toEqual([]);
 });
 
-test('a process without TLS is refused', async () => {
+test('a process without TLS is rejected', async () => {
   await expect(
     connectPeer(`127.0.0.1:${server.port}`, hello),
   ).rejects.toThrow();
-  expect(greeted).toEqual([]);
+  expect(connectedIds).toEqual([]);
 });
 
-test('a server that the authority did not sign is not talked to', async () => {
+test('a client rejects a server whose certificate another authority signed', async () => {
   const other = {...trusted, authority: stranger.certificate};
 
   await expect(
