--- a/src/entry/attempt_events.ts
+++ b/src/entry/attempt_callbacks.ts
@@ -1,7 +1,7 @@
 import {Outcome} from '../protocol/outcome';
 
 /** What becomes of one attempt, told step by step to whoever started it. */
-export interface AttemptEvents {
+export interface AttemptCallbacks {
   readonly onHead: (
     status: number,
     headers: Readonly<Record<string, string>>,
@@ -18,5 +18,5 @@
   readonly reason: string;
   readonly retryAfterMs?: number;
   /** The connection went away, so the host process may know more. */
-  readonly isLinkLost?: boolean;
+  readonly isConnectionLost?: boolean;
 }
--- a/src/entry/caller_response.ts
+++ b/src/entry/caller_response.ts
@@ -20,12 +20,12 @@
 
 /** Turns the frames of an attempt into HTTP. */
 export class CallerResponse {
-  private held: Uint8Array[] | undefined;
+  private bufferedChunks: Uint8Array[] | undefined;
   /** Told when the caller goes away. */
-  private onGone: (() => void) | undefined;
+  private onDisconnect: (() => void) | undefined;
   /** Told when there is room for more. */
-  private readonly waiting: Array<() => void> = [];
-  private heldBytes = 0;
+  private readonly drainCallbacks: Array<() => void> = [];
+  private bufferedBytes = 0;
   private isEvents = false;
   private hasDeliveredData = false;
   private eventCount = 0;
@@ -48,17 +48,17 @@
   }
 
   /** Whole events that the caller was sent. */
-  get deliveredEvents(): number {
+  get deliveredEventCount(): number {
     return this.eventCount;
   }
 
   /** A broken stream can be taken up by another replica behind its last event. */
   get canResume(): boolean {
-    return this.hasDeliveredData && this.isEvents && !this.isGone;
+    return this.hasDeliveredData && this.isEvents && !this.isDisconnected;
   }
 
   /** The caller went away before the end. */
-  get isGone(): boolean {
+  get isDisconnected(): boolean {
     return this.response.destroyed;
   }
 
@@ -66,22 +66,22 @@
    * Calls back if the caller goes away before the end. Of several attempts only
    * the newest is told.
    */
-  watchGone(callback: () => void): void {
-    if (!this.onGone) {
+  watchDisconnect(callback: () => void): void {
+    if (!this.onDisconnect) {
       this.response.once('close', () => {
         if (!this.response.writableFinished) {
-          this.onGone?.();
+          this.onDisconnect?.();
         }
       });
     }
-    this.onGone = callback;
+    this.onDisconnect = callback;
   }
 
   /** Takes the status and headers; forgets those of an earlier attempt. */
   start(status: number, headers: Readonly<Record<string, string>>): void {
     this.isEvents = headers['content-type']?.startsWith(EVENT_STREAM) ?? false;
-    this.held = this.isEvents ? undefined : [];
-    this.heldBytes = 0;
+    this.bufferedChunks = this.isEvents ? undefined : [];
+    this.bufferedBytes = 0;
     this.response.statusCode = status;
     for (const [name, value] of Object.entries(headers)) {
       if (!DROPPED_HEADERS.has(name)) {
@@ -97,7 +97,7 @@
    * Goes on with the answer of another attempt; false when that attempt does
    * not start behind the last event that the caller was sent.
    */
-  acceptResumed(
+  isContinuedBy(
     status: number,
     headers: Readonly<Record<string, string>>,
   ): boolean {
@@ -107,29 +107,32 @@
 
   /** Writes a part of the answer; `onWritten` is called when there is room for more. */
   write(bytes: Uint8Array, onWritten: () => void): void {
-    if (this.held && this.heldBytes + bytes.length <= MAX_HELD_BYTES) {
-      this.held.push(bytes);
-      this.heldBytes += bytes.length;
+    if (
+      this.bufferedChunks &&
+      this.bufferedBytes + bytes.length <= MAX_HELD_BYTES
+    ) {
+      this.bufferedChunks.push(bytes);
+      this.bufferedBytes += bytes.length;
       onWritten();
       return;
     }
-    this.releaseHeld();
+    this.flushBuffered();
     this.hasDeliveredData = true;
     this.eventCount += this.isEvents ? countEvents(bytes) : 0;
-    const hasRoom = this.isGone || this.response.write(bytes);
+    const hasRoom = this.isDisconnected || this.response.write(bytes);
     if (hasRoom) {
       onWritten();
     } else {
-      this.waitForRoom(onWritten);
+      this.waitForDrain(onWritten);
     }
   }
 
   /** Ends an answer that is whole. */
   finish(): void {
-    if (this.held) {
+    if (this.bufferedChunks) {
       this.response.setHeader(OUTCOME_HEADER, 'answered');
-      this.response.setHeader('content-length', String(this.heldBytes));
-      this.response.end(Buffer.concat(this.held));
+      this.response.setHeader('content-length', String(this.bufferedBytes));
+      this.response.end(Buffer.concat(this.bufferedChunks));
       return;
     }
     this.addTrailer('answered');
@@ -160,23 +163,23 @@
   }
 
   /** A caller that goes away never drains, but work that runs once must go on. */
-  private waitForRoom(onWritten: () => void): void {
-    this.waiting.push(onWritten);
-    if (this.waiting.length > 1) {
+  private waitForDrain(onWritten: () => void): void {
+    this.drainCallbacks.push(onWritten);
+    if (this.drainCallbacks.length > 1) {
       return;
     }
     const proceed = () => {
       this.response.off('drain', proceed);
       this.response.off('close', proceed);
-      this.waiting.splice(0).forEach(callback => callback());
+      this.drainCallbacks.splice(0).forEach(callback => callback());
     };
     this.response.on('drain', proceed);
     this.response.on('close', proceed);
   }
 
-  private releaseHeld(): void {
-    const held = this.held;
-    this.held = undefined;
+  private flushBuffered(): void {
+    const held = this.bufferedChunks;
+    this.bufferedChunks = undefined;
     held?.forEach(bytes => this.response.write(bytes));
   }
 
--- a/src/entry/entry_server.ts
+++ b/src/entry/entry_server.ts
@@ -16,12 +16,12 @@
 import {CallerResponse} from './caller_response';
 import {EntrySettings} from './entry_settings';
 import {findWorkspace} from './find_workspace';
-import {HostLinks} from './host_links';
-import {OnceOnly} from './once_only';
+import {HostConnections} from './host_connections';
+import {IdempotencyClaims} from './idempotency_claims';
 import {parseCallerRequest} from './parse_caller_request';
 import {Problem} from './problem';
 import {RequestRunner} from './request_runner';
-import {RouteTable} from './route_table';
+import {RoutingTable} from './routing_table';
 import {sendProblem} from './send_problem';
 
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
@@ -73,15 +73,15 @@
       recordPause(this.events, 'control', this.settings.entryId, pause),
   });
   private readonly admission = Admission.create();
-  private readonly links: HostLinks;
-  private readonly table: RouteTable;
+  private readonly connections: HostConnections;
+  private readonly table: RoutingTable;
   private readonly runner: RequestRunner;
-  private readonly claims: ControlClient;
+  private readonly claimClient: ControlClient;
   private readonly schedule: StopSchedule;
   /** Answers that have not left, to the last byte. */
-  private readonly open = new Set<ServerResponse>();
+  private readonly openResponses = new Set<ServerResponse>();
   /** Those of requests that were taken. */
-  private readonly taken = new Set<ServerResponse>();
+  private readonly acceptedResponses = new Set<ServerResponse>();
   private listener: HttpListener | undefined;
 
   private constructor(private readonly settings: EntrySettings) {
@@ -93,25 +93,30 @@
       id: entryId,
       incarnation: randomBytes(8).toString('hex'),
     };
-    this.links = HostLinks.create({identity, clock, security});
-    this.claims = ControlClient.create({
+    this.connections = HostConnections.create({identity, clock, security});
+    this.claimClient = ControlClient.create({
       addresses: control,
       identity,
       security,
     });
-    this.table = RouteTable.create({
+    this.table = RoutingTable.create({
       entryId,
       client: ControlClient.create({addresses: control, identity, security}),
       clock: this.leaseClock,
       onGroups: groups =>
-        this.links.setWanted(groups.map(group => group.members[0].address)),
+        this.connections.setAddresses(
+          groups.map(group => group.members[0].address),
+        ),
       onBundle: bundle => this.recordBundle(bundle),
     });
     this.runner = RequestRunner.create({
       clock,
       table: this.table,
-      links: this.links,
-      onceOnly: OnceOnly.create({client: this.claims, links: this.links}),
+      connections: this.connections,
+      claims: IdempotencyClaims.create({
+        client: this.claimClient,
+        connections: this.connections,
+      }),
       random: Math.random,
     });
   }
@@ -129,7 +134,8 @@
       entry.listener = await HttpListener.create({
         host: settings.host,
         port: settings.port,
-        onRequest: (request, response) => void entry.handle(request, response),
+        onRequest: (request, response) =>
+          void entry.handleRequest(request, response),
       });
     } catch (error) {
       await entry.close();
@@ -148,11 +154,13 @@
     const {givenUp} = await runStop({
       schedule: this.schedule,
       clock: this.clock,
-      countTaken: () => this.taken.size,
-      countOpen: () => this.open.size,
+      countTaken: () => this.acceptedResponses.size,
+      countOpen: () => this.openResponses.size,
       stopAccepting: () => this.listener?.stopAccepting(),
       giveUp: () =>
-        this.open.forEach(answer => giveUp(answer, this.taken.has(answer))),
+        this.openResponses.forEach(answer =>
+          giveUp(answer, this.acceptedResponses.has(answer)),
+        ),
     });
     this.events.record({
       type: 'entry-stopped',
@@ -171,8 +179,8 @@
   async close(): Promise<void> {
     await this.listener?.close();
     this.table.close();
-    this.claims.close();
-    this.links.close();
+    this.claimClient.close();
+    this.connections.close();
   }
 
   private readonly routes: Readonly<Record<string, Handler>> = {
@@ -194,26 +202,26 @@
     },
   };
 
-  private async handle(
+  private async handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.open.add(response);
+    this.openResponses.add(response);
     response.once('close', () => {
-      this.open.delete(response);
-      this.taken.delete(response);
+      this.openResponses.delete(response);
+      this.acceptedResponses.delete(response);
     });
     try {
       const route = this.routes[`${request.method} ${request.url}`];
       await (route
         ? route(request, response)
-        : this.handleWork(request, response));
+        : this.handleWorkspaceRequest(request, response));
     } catch (error) {
-      this.answerError(response, error as Error);
+      this.sendError(response, error as Error);
     }
   }
 
-  private async handleWork(
+  private async handleWorkspaceRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -259,7 +267,7 @@
     maxInFlight: number,
     response: ServerResponse,
   ): Promise<void> {
-    const limit = Math.ceil(maxInFlight / this.table.entries);
+    const limit = Math.ceil(maxInFlight / this.table.entryCount);
     if (!this.admission.admit(request.workspace, limit)) {
       sendProblem(response, {
         status: 429,
@@ -270,7 +278,7 @@
       });
       return;
     }
-    this.taken.add(response);
+    this.acceptedResponses.add(response);
     try {
       const end = await this.runner.run(
         request,
@@ -293,7 +301,7 @@
     }
   }
 
-  private answerError(response: ServerResponse, error: Error): void {
+  private sendError(response: ServerResponse, error: Error): void {
     if (response.headersSent || response.destroyed) {
       response.destroy();
       return;
--- a/src/entry/host_link.ts
+++ b/src/entry/host_connection.ts
@@ -6,7 +6,7 @@
 import {Peer} from '../protocol/peer';
 import {WorkMessage} from '../protocol/work_message';
 import {TransportSecurity} from '../transport/transport_security';
-import {AttemptEvents} from './attempt_events';
+import {AttemptCallbacks} from './attempt_callbacks';
 
 const TOMBSTONE_TIMEOUT_MS = 1_500;
 const CREDIT_BYTES = 256 * 1024;
@@ -18,7 +18,7 @@
 >;
 
 interface OpenAttempt {
-  readonly events: AttemptEvents;
+  readonly events: AttemptCallbacks;
   nextSequence: number;
 }
 
@@ -36,7 +36,7 @@
 }
 
 /** Sends dispatches to one host process and sorts its frames by attempt. */
-export class HostLink {
+export class HostConnection {
   private readonly attempts = new Map<number, OpenAttempt>();
   private readonly tombstones = new Map<
     string,
@@ -46,7 +46,7 @@
   /** The host's clock as it last told it, and ours when that came. */
   private hostClock:
     {readonly theirs: number; readonly ours: number} | undefined;
-  private reportedRunning = 0;
+  private lastReportedCount = 0;
 
   private constructor(
     private readonly peer: Peer,
@@ -65,13 +65,13 @@
    * @example
    * const link = await HostLink.connect({address, identity, clock, onClosed});
    */
-  static async connect(options: HostLinkOptions): Promise<HostLink> {
+  static async connect(options: HostLinkOptions): Promise<HostConnection> {
     const peer = await connectPeer(
       options.address,
       options.identity,
       options.security,
     );
-    return new HostLink(peer, options);
+    return new HostConnection(peer, options);
   }
 
   get isOpen(): boolean {
@@ -84,13 +84,13 @@
   }
 
   /** Attempts of this entry on the link. */
-  get ownRunning(): number {
+  get ownAttemptCount(): number {
     return this.attempts.size;
   }
 
   /** Attempts of all entries as the host last reported. */
-  get totalRunning(): number {
-    return this.reportedRunning;
+  get reportedAttemptCount(): number {
+    return this.lastReportedCount;
   }
 
   /**
@@ -102,7 +102,7 @@
   dispatch(
     fields: DispatchFields,
     startWithinMs: number,
-    events: AttemptEvents,
+    events: AttemptCallbacks,
   ): () => void {
     const stream = ++this.lastStream;
     if (!this.peer.isOpen || !this.hostClock) {
@@ -146,7 +146,7 @@
   private readonly handlers: Handlers = {
     clock: ({now, running}) => {
       this.hostClock = {theirs: now, ours: this.options.clock.now()};
-      this.reportedRunning = running;
+      this.lastReportedCount = running;
     },
     head: ({stream, status, headers}) => {
       this.attempts.get(stream)?.events.onHead(status, headers);
@@ -199,7 +199,7 @@
 
   private finish(
     stream: number,
-    end: Parameters<AttemptEvents['onEnd']>[0],
+    end: Parameters<AttemptCallbacks['onEnd']>[0],
   ): void {
     const attempt = this.attempts.get(stream);
     this.attempts.delete(stream);
@@ -210,7 +210,7 @@
     this.options.onClosed();
     const reason = 'the connection to the host process broke';
     for (const stream of [...this.attempts.keys()]) {
-      this.finish(stream, {outcome: 'unknown', reason, isLinkLost: true});
+      this.finish(stream, {outcome: 'unknown', reason, isConnectionLost: true});
     }
     for (const finish of [...this.tombstones.values()]) {
       finish(undefined);
--- a/src/entry/host_links.ts
+++ b/src/entry/host_connections.ts
@@ -2,7 +2,7 @@
 import {Clock} from '../common/clock';
 import {Peer} from '../protocol/peer';
 import {TransportSecurity} from '../transport/transport_security';
-import {HostLink} from './host_link';
+import {HostConnection} from './host_connection';
 
 const RECONNECT_MS = 200;
 
@@ -14,13 +14,13 @@
 }
 
 /** Links by address. */
-export class HostLinks {
-  private readonly links = new Map<string, HostLink>();
+export class HostConnections {
+  private readonly connections = new Map<string, HostConnection>();
   private readonly connecting = new Map<
     string,
-    Promise<HostLink | undefined>
+    Promise<HostConnection | undefined>
   >();
-  private wanted: ReadonlySet<string> = new Set();
+  private addresses: ReadonlySet<string> = new Set();
   private readonly timer: NodeJS.Timeout;
 
   private constructor(private readonly options: HostLinksOptions) {
@@ -34,15 +34,15 @@
    * const links = HostLinks.create({identity, clock});
    * links.setWanted(['127.0.0.1:7100']);
    */
-  static create(options: HostLinksOptions): HostLinks {
-    return new HostLinks(options);
+  static create(options: HostLinksOptions): HostConnections {
+    return new HostConnections(options);
   }
 
   /** Sets the addresses to stay connected to. Links with work on them stay open. */
-  setWanted(addresses: readonly string[]): void {
-    this.wanted = new Set(addresses);
-    for (const [address, link] of this.links) {
-      if (!this.wanted.has(address) && link.ownRunning === 0) {
+  setAddresses(addresses: readonly string[]): void {
+    this.addresses = new Set(addresses);
+    for (const [address, link] of this.connections) {
+      if (!this.addresses.has(address) && link.ownAttemptCount === 0) {
         link.close();
       }
     }
@@ -50,41 +50,41 @@
   }
 
   /** An open link, if there is one. */
-  find(address: string): HostLink | undefined {
-    const link = this.links.get(address);
+  find(address: string): HostConnection | undefined {
+    const link = this.connections.get(address);
     return link?.isOpen ? link : undefined;
   }
 
   /** An open link, connecting if need be; undefined when nobody answers. */
-  async connectTo(address: string): Promise<HostLink | undefined> {
+  async findOrConnect(address: string): Promise<HostConnection | undefined> {
     return this.find(address) ?? this.connect(address);
   }
 
   close(): void {
     clearInterval(this.timer);
-    this.links.forEach(link => link.close());
+    this.connections.forEach(link => link.close());
   }
 
   private connectMissing(): void {
-    for (const address of this.wanted) {
+    for (const address of this.addresses) {
       if (!this.find(address)) {
         void this.connect(address);
       }
     }
   }
 
-  private connect(address: string): Promise<HostLink | undefined> {
+  private connect(address: string): Promise<HostConnection | undefined> {
     const pending = this.connecting.get(address);
     if (pending) {
       return pending;
     }
-    const connecting = HostLink.connect({
+    const connecting = HostConnection.connect({
       ...this.options,
       address,
-      onClosed: () => this.links.delete(address),
+      onClosed: () => this.connections.delete(address),
     })
       .then(link => {
-        this.links.set(address, link);
+        this.connections.set(address, link);
         return link;
       })
       .catch(() => undefined)
--- a/src/entry/once_only.ts
+++ b/src/entry/idempotency_claims.ts
@@ -5,7 +5,7 @@
 import {Group} from '../protocol/group';
 import {Outcome} from '../protocol/outcome';
 import {CallerRequest} from './caller_request';
-import {HostLinks} from './host_links';
+import {HostConnections} from './host_connections';
 import {Problem} from './problem';
 
 const CLAIM_TIMEOUT_MS = 3_000;
@@ -15,7 +15,7 @@
 /** Whom to ask. */
 interface OnceOnlyOptions {
   readonly client: ControlClient;
-  readonly links: HostLinks;
+  readonly connections: HostConnections;
 }
 
 /** Which attempt a claim is for, and where it would run. */
@@ -27,7 +27,7 @@
 }
 
 /** Grants at most one run for each workspace and key. */
-export class OnceOnly {
+export class IdempotencyClaims {
   private constructor(private readonly options: OnceOnlyOptions) {}
 
   /**
@@ -36,8 +36,8 @@
    * @example
    * const onceOnly = OnceOnly.create({client, links});
    */
-  static create(options: OnceOnlyOptions): OnceOnly {
-    return new OnceOnly(options);
+  static create(options: OnceOnlyOptions): IdempotencyClaims {
+    return new IdempotencyClaims(options);
   }
 
   /**
@@ -49,13 +49,13 @@
     request: CallerRequest,
     target: ClaimTarget,
   ): Promise<Problem | undefined> {
-    const first = await this.ask(request, target);
+    const first = await this.sendClaim(request, target);
     const verdict =
       first?.status === 'in-progress'
-        ? await this.resolveEarlier(request, first)
+        ? await this.resolveExistingClaim(request, first)
         : first;
     if (verdict === 'settled') {
-      const second = await this.ask(request, target);
+      const second = await this.sendClaim(request, target);
       return describeVerdict(second);
     }
     return describeVerdict(verdict);
@@ -76,7 +76,7 @@
       .catch(() => undefined);
   }
 
-  private async ask(
+  private async sendClaim(
     request: CallerRequest,
     {attemptId, group, incarnation}: ClaimTarget,
   ): Promise<ClaimVerdict | undefined> {
@@ -101,12 +101,12 @@
   }
 
   /** Asks the host process that an unfinished claim names what became of it. */
-  private async resolveEarlier(
+  private async resolveExistingClaim(
     request: CallerRequest,
     claim: ClaimVerdict & {status: 'in-progress'},
   ): Promise<ClaimVerdict | 'settled'> {
     const {attemptId, address, incarnation} = claim;
-    const link = await this.options.links.connectTo(address);
+    const link = await this.options.connections.findOrConnect(address);
     if (!link) {
       return claim;
     }
--- a/src/entry/request_runner.ts
+++ b/src/entry/request_runner.ts
@@ -5,14 +5,14 @@
 import {RetryBudget} from '../coordination/requests/retry_budget';
 import {Group} from '../protocol/group';
 import {Outcome} from '../protocol/outcome';
-import {AttemptEvents} from './attempt_events';
+import {AttemptCallbacks} from './attempt_callbacks';
 import {CallerRequest} from './caller_request';
 import {CallerResponse} from './caller_response';
-import {HostLink} from './host_link';
-import {HostLinks} from './host_links';
-import {OnceOnly} from './once_only';
+import {HostConnection} from './host_connection';
+import {HostConnections} from './host_connections';
+import {IdempotencyClaims} from './idempotency_claims';
 import {Problem} from './problem';
-import {RouteTable} from './route_table';
+import {RoutingTable} from './routing_table';
 
 /** How long a dispatch may travel before the host process refuses it. */
 const START_WITHIN_MS = 2_000;
@@ -23,18 +23,18 @@
 /** What requests run with. */
 interface RequestRunnerOptions {
   readonly clock: Clock;
-  readonly table: RouteTable;
-  readonly links: HostLinks;
-  readonly onceOnly: OnceOnly;
+  readonly table: RoutingTable;
+  readonly connections: HostConnections;
+  readonly claims: IdempotencyClaims;
   readonly random: () => number;
 }
 
-type AttemptEnd = Parameters<AttemptEvents['onEnd']>[0];
+type AttemptEnd = Parameters<AttemptCallbacks['onEnd']>[0];
 
 interface Candidate {
   readonly groupId: string;
   readonly group: Group;
-  readonly link: HostLink;
+  readonly connection: HostConnection;
   readonly running: number;
 }
 
@@ -47,7 +47,7 @@
 
 /** Runs requests against the replicas that the table names. */
 export class RequestRunner {
-  private readonly budgets = new Map<string, RetryBudget>();
+  private readonly retryBudgets = new Map<string, RetryBudget>();
 
   private constructor(private readonly options: RequestRunnerOptions) {}
 
@@ -73,9 +73,9 @@
       reason: 'no replica serves it now',
     };
     for (let attempt = 1; ; attempt += 1) {
-      const candidate = this.choose(request, tried);
+      const candidate = this.chooseCandidate(request, tried);
       if (!candidate) {
-        return this.fail(response, worst, attempt - 1);
+        return this.failRequest(response, worst, attempt - 1);
       }
       tried.add(candidate.groupId);
       const attemptId = `${request.requestId}.${attempt}`;
@@ -94,7 +94,7 @@
         };
       }
       if (end.outcome === 'answered') {
-        this.findBudget(request).recordSuccess();
+        this.getRetryBudget(request).recordSuccess();
         return {outcome: 'answered', reason: '', attempts: attempt};
       }
       worst = takeWorse(worst, end);
@@ -102,13 +102,14 @@
         outcome: end.outcome,
         isRepeatable: request.isRepeatable,
         hasDelivered:
-          response.isGone || (response.hasDelivered && !response.canResume),
+          response.isDisconnected ||
+          (response.hasDelivered && !response.canResume),
         attemptsMade: attempt,
         msLeft: request.deadline - clock.now(),
-        takeRetry: () => this.findBudget(request).takeRetry(),
+        takeRetry: () => this.getRetryBudget(request).takeRetry(),
       });
       if (!isRetried) {
-        return this.fail(response, worst, attempt);
+        return this.failRequest(response, worst, attempt);
       }
     }
   }
@@ -120,12 +121,12 @@
     candidate: Candidate,
     attemptId: string,
   ): Promise<AttemptEnd | Problem> {
-    const {onceOnly} = this.options;
+    const {claims: onceOnly} = this.options;
     if (request.isRepeatable) {
       const end = await this.dispatch(request, response, candidate, attemptId);
-      return this.resolveFate(request, response, candidate, attemptId, end);
+      return this.resolveOutcome(request, response, candidate, attemptId, end);
     }
-    const {group, link} = candidate;
+    const {group, connection: link} = candidate;
     const problem = await onceOnly.claim(request, {
       attemptId,
       group,
@@ -135,7 +136,7 @@
       return problem;
     }
     const end = await this.dispatch(request, response, candidate, attemptId);
-    const settled = await this.resolveFate(
+    const settled = await this.resolveOutcome(
       request,
       response,
       candidate,
@@ -155,7 +156,7 @@
   }
 
   /** After a lost connection the host process may still know what became of the attempt. */
-  private async resolveFate(
+  private async resolveOutcome(
     request: CallerRequest,
     response: CallerResponse,
     candidate: Candidate,
@@ -163,14 +164,14 @@
     end: AttemptEnd,
   ): Promise<AttemptEnd> {
     const isWorthAsking =
-      end.isLinkLost && !response.hasDelivered && !request.isRepeatable;
+      end.isConnectionLost && !response.hasDelivered && !request.isRepeatable;
     if (!isWorthAsking) {
       return end;
     }
-    const link = await this.options.links.connectTo(
+    const link = await this.options.connections.findOrConnect(
       candidate.group.members[0].address,
     );
-    if (!link || link.incarnation !== candidate.link.incarnation) {
+    if (!link || link.incarnation !== candidate.connection.incarnation) {
       return end;
     }
     const answer = await link.askTombstone(attemptId);
@@ -189,7 +190,7 @@
   private dispatch(
     request: CallerRequest,
     response: CallerResponse,
-    {group, link}: Candidate,
+    {group, connection: link}: Candidate,
     attemptId: string,
   ): Promise<AttemptEnd> {
     const msLeft = Math.max(0, request.deadline - this.options.clock.now());
@@ -235,7 +236,7 @@
             }
             if (!response.hasDelivered) {
               response.start(status, headers);
-            } else if (!response.acceptResumed(status, headers)) {
+            } else if (!response.isContinuedBy(status, headers)) {
               giveUp('the answer broke off and could not be resumed');
             }
           },
@@ -258,16 +259,16 @@
         },
       );
       if (request.isRepeatable) {
-        response.watchGone(() => giveUp('the caller went away'));
+        response.watchDisconnect(() => giveUp('the caller went away'));
       }
     });
   }
 
-  private choose(
+  private chooseCandidate(
     request: CallerRequest,
     tried: ReadonlySet<string>,
   ): Candidate | undefined {
-    const {table, links, random} = this.options;
+    const {table, connections: links, random} = this.options;
     const candidates: Candidate[] = [];
     for (const group of table.groups) {
       const isMatch =
@@ -277,24 +278,27 @@
       }
       const link = links.find(group.members[0].address);
       if (link) {
-        const running = Math.max(link.ownRunning, link.totalRunning);
-        candidates.push({groupId: group.id, group, link, running});
+        const running = Math.max(
+          link.ownAttemptCount,
+          link.reportedAttemptCount,
+        );
+        candidates.push({groupId: group.id, group, connection: link, running});
       }
     }
     return chooseReplica(candidates, random);
   }
 
-  private findBudget(request: CallerRequest): RetryBudget {
+  private getRetryBudget(request: CallerRequest): RetryBudget {
     const key = `${request.workspace}/${request.name}`;
-    let budget = this.budgets.get(key);
+    let budget = this.retryBudgets.get(key);
     if (!budget) {
       budget = RetryBudget.create();
-      this.budgets.set(key, budget);
+      this.retryBudgets.set(key, budget);
     }
     return budget;
   }
 
-  private fail(
+  private failRequest(
     response: CallerResponse,
     end: AttemptEnd,
     attempts: number,
@@ -309,7 +313,10 @@
   response: CallerResponse,
 ): Readonly<Record<string, string>> {
   return response.canResume
-    ? {...request.headers, [RESUME_HEADER]: String(response.deliveredEvents)}
+    ? {
+        ...request.headers,
+        [RESUME_HEADER]: String(response.deliveredEventCount),
+      }
     : request.headers;
 }
 
--- a/src/entry/route_table.ts
+++ b/src/entry/routing_table.ts
@@ -22,14 +22,14 @@
 }
 
 /** Asks control again and again; old while control does not answer. */
-export class RouteTable {
+export class RoutingTable {
   private currentBundle: Bundle | undefined;
   private currentGroups: readonly Group[] = [];
   private tableVersion = 0;
   private readonly lease = BundleLease.create();
-  private entryCount = 1;
+  private sharingEntries = 1;
   private isClosed = false;
-  private wake: () => void = () => undefined;
+  private endDelay: () => void = () => undefined;
 
   private constructor(private readonly options: RouteTableOptions) {
     void this.run();
@@ -41,8 +41,8 @@
    * @example
    * const table = RouteTable.create({entryId, client, clock, onGroups, onBundle});
    */
-  static create(options: RouteTableOptions): RouteTable {
-    return new RouteTable(options);
+  static create(options: RouteTableOptions): RoutingTable {
+    return new RoutingTable(options);
   }
 
   /** The newest bundle that control named. */
@@ -55,8 +55,8 @@
   }
 
   /** Entries that share the limits of the bundle. */
-  get entries(): number {
-    return this.entryCount;
+  get entryCount(): number {
+    return this.sharingEntries;
   }
 
   /** True while control confirmed the bundle lately enough to take new work. */
@@ -66,7 +66,7 @@
 
   close(): void {
     this.isClosed = true;
-    this.wake();
+    this.endDelay();
     this.options.client.close();
   }
 
@@ -74,7 +74,7 @@
     while (!this.isClosed) {
       await this.refresh().catch(() => undefined);
       await new Promise<void>(resolve => {
-        this.wake = resolve;
+        this.endDelay = resolve;
         setTimeout(resolve, REFRESH_EVERY_MS);
       });
     }
@@ -96,7 +96,7 @@
 
   private applyDirective(directive: Directive, askedAt: number): void {
     this.lease.renew(askedAt, directive.leaseMs);
-    this.entryCount = directive.entries;
+    this.sharingEntries = directive.entries;
     if (directive.bundle) {
       const bundle = Bundle.parse(JSON.parse(directive.bundle.document));
       if (bundle.version > (this.currentBundle?.version ?? 0)) {
--- a/src/host/work_runner.ts
+++ b/src/host/attempt_runner.ts
@@ -22,9 +22,12 @@
   readonly backend: HttpBackend;
   readonly findBackendUrl: () => string | undefined;
   /** Why a dispatch must not start now, if so. */
-  readonly refuse: (dispatch: Dispatch, now: number) => string | undefined;
+  readonly findRefusalReason: (
+    dispatch: Dispatch,
+    now: number,
+  ) => string | undefined;
   /** Why work for this group and epoch must stop, if so. */
-  readonly checkRight: (dispatch: Dispatch) => string | undefined;
+  readonly findStopReason: (dispatch: Dispatch) => string | undefined;
 }
 
 /** One entry's connection with the attempts that came over it. */
@@ -41,8 +44,8 @@
 };
 
 /** Runs work on the backend server for every connected entry. */
-export class WorkRunner {
-  private readonly ledger = DispatchLedger.create();
+export class AttemptRunner {
+  private readonly tracker = DispatchLedger.create();
   private readonly running = new Map<RunningAttempt, Dispatch>();
   private readonly connections = new Set<EntryConnection>();
   private readonly timer: NodeJS.Timeout;
@@ -58,8 +61,8 @@
    * const runner = WorkRunner.create(options);
    * runner.accept(peer);
    */
-  static create(options: WorkRunnerOptions): WorkRunner {
-    return new WorkRunner(options);
+  static create(options: WorkRunnerOptions): AttemptRunner {
+    return new AttemptRunner(options);
   }
 
   /** Attempts that run now. */
@@ -68,7 +71,7 @@
   }
 
   /** Serves an entry until its connection ends. */
-  accept(peer: Peer): void {
+  acceptEntry(peer: Peer): void {
     const connection: EntryConnection = {peer, attempts: new Map()};
     this.connections.add(connection);
     this.reportClock(peer);
@@ -78,15 +81,15 @@
     void peer.closed.then(() => {
       this.connections.delete(connection);
       for (const attempt of connection.attempts.values()) {
-        this.handleEntryGone(attempt);
+        this.handleEntryDisconnect(attempt);
       }
     });
   }
 
   /** Stops everything that lost its right to run. */
-  stopUnlawful(): void {
+  stopUnauthorized(): void {
     for (const [attempt, dispatch] of this.running) {
-      const reason = this.options.checkRight(dispatch);
+      const reason = this.options.findStopReason(dispatch);
       if (reason) {
         attempt.stop({outcome: 'failed', reason});
       }
@@ -125,11 +128,11 @@
   };
 
   private dispatch(connection: EntryConnection, dispatch: Dispatch): void {
-    const {clock, refuse, findBackendUrl} = this.options;
+    const {clock, findRefusalReason: refuse, findBackendUrl} = this.options;
     // Read after the frame: after a pause the frame may be old, the clock is not.
     const now = clock.now();
     const {attemptId, stream} = dispatch;
-    const known = this.ledger.find(attemptId);
+    const known = this.tracker.find(attemptId);
     if (known && known.status !== 'never-started') {
       const reason = 'this attempt was started before';
       connection.peer.send({
@@ -147,7 +150,7 @@
       : refuse(dispatch, now);
     if (refusal || !url) {
       // Once refused it must never start, however often its frame comes.
-      this.ledger.recordTombstone(attemptId, now);
+      this.tracker.recordTombstone(attemptId, now);
       const reason = refusal ?? 'no backend server is announced';
       connection.peer.send({
         type: 'refused',
@@ -157,7 +160,7 @@
       });
       return;
     }
-    this.ledger.start(attemptId, now);
+    this.tracker.start(attemptId, now);
     this.run(connection, dispatch, url);
   }
 
@@ -166,21 +169,21 @@
     dispatch: Dispatch,
     backendUrl: string,
   ): void {
-    const {backend, checkRight, events} = this.options;
+    const {backend, findStopReason: checkRight, events} = this.options;
     const attempt = RunningAttempt.create({
       dispatch,
       backend,
       backendUrl,
       epoch: dispatch.epoch,
       send: message => connection.peer.send(message),
-      checkRight: () => checkRight(dispatch),
+      findStopReason: () => checkRight(dispatch),
     });
     this.running.set(attempt, dispatch);
     connection.attempts.set(dispatch.stream, attempt);
     void attempt.ended.then(({outcome, reason}) => {
       this.running.delete(attempt);
       connection.attempts.delete(dispatch.stream);
-      this.ledger.end(dispatch.attemptId, outcome);
+      this.tracker.end(dispatch.attemptId, outcome);
       if (outcome !== 'answered') {
         const {attemptId: id} = dispatch;
         events.record({
@@ -194,7 +197,7 @@
   }
 
   /** What must run once goes on without its caller, so that its outcome is known. */
-  private handleEntryGone(attempt: RunningAttempt): void {
+  private handleEntryDisconnect(attempt: RunningAttempt): void {
     if (this.running.get(attempt)?.isRepeatable === false) {
       attempt.addCredit(Infinity);
     } else {
@@ -203,7 +206,7 @@
   }
 
   private answerTombstone(peer: Peer, attemptId: string): void {
-    const fate = this.ledger.recordTombstone(
+    const fate = this.tracker.recordTombstone(
       attemptId,
       this.options.clock.now(),
     );
--- a/src/host/control_session.ts
+++ b/src/host/control_session.ts
@@ -23,7 +23,7 @@
 export class ControlSession {
   private readonly lease = BundleLease.create();
   private isClosed = false;
-  private wake: () => void = () => undefined;
+  private endDelay: () => void = () => undefined;
 
   private constructor(private readonly options: ControlSessionOptions) {
     void this.run();
@@ -45,13 +45,13 @@
   }
 
   /** Reports at once instead of at the next time. */
-  reportSoon(): void {
-    this.wake();
+  reportNow(): void {
+    this.endDelay();
   }
 
   close(): void {
     this.isClosed = true;
-    this.wake();
+    this.endDelay();
     this.options.client.close();
   }
 
@@ -60,7 +60,7 @@
       await this.reportOnce();
       await new Promise<void>(resolve => {
         const timer = setTimeout(resolve, REPORT_EVERY_MS);
-        this.wake = () => {
+        this.endDelay = () => {
           clearTimeout(timer);
           resolve();
         };
--- a/src/host/engine_orders.ts
+++ b/src/host/engine_controller.ts
@@ -18,12 +18,12 @@
  * Gives orders one after the other. Engines that ignore the fencing number must
  * never see two orders at once, so a new one waits for the end of the old.
  */
-export class EngineOrders {
-  private wanted: Group | null = null;
-  private standby: string | null = null;
-  private loadedInAdvance: string | undefined;
+export class EngineController {
+  private desiredGroup: Group | null = null;
+  private standbyModel: string | null = null;
+  private preloadedModel: string | undefined;
   private accepted: {groupId: string; epoch: number; url: string} | undefined;
-  private isOrdering = false;
+  private isSending = false;
   private isClosed = false;
 
   private constructor(private readonly options: EngineOrdersOptions) {}
@@ -34,27 +34,27 @@
    * @example
    * const orders = EngineOrders.create({hostId, backend, findUrl});
    */
-  static create(options: EngineOrdersOptions): EngineOrders {
-    return new EngineOrders(options);
+  static create(options: EngineOrdersOptions): EngineController {
+    return new EngineController(options);
   }
 
   /** Wants the engine to work for this group, or for none. */
-  setWanted(group: Group | null): void {
-    this.wanted = group;
-    void this.orderUntilDone();
+  setDesiredGroup(group: Group | null): void {
+    this.desiredGroup = group;
+    void this.sendUntilAccepted();
   }
 
   /** Wants an engine that has no group to load this model in advance. */
-  setStandby(model: string | null): void {
-    this.standby = model;
-    const isPending = model !== null && this.loadedInAdvance !== model;
-    if (this.wanted === null && isPending) {
-      void this.orderUntilDone();
+  setStandbyModel(model: string | null): void {
+    this.standbyModel = model;
+    const isPending = model !== null && this.preloadedModel !== model;
+    if (this.desiredGroup === null && isPending) {
+      void this.sendUntilAccepted();
     }
   }
 
   /** True once the engine took the order for this group and epoch. */
-  isInForce(group: Group): boolean {
+  hasAccepted(group: Group): boolean {
     const {accepted} = this;
     return (
       accepted?.groupId === group.id &&
@@ -65,9 +65,10 @@
 
   /** Orders again when the engine is another one than before. */
   refresh(): void {
-    const isPending = this.wanted !== null && !this.isInForce(this.wanted);
+    const isPending =
+      this.desiredGroup !== null && !this.hasAccepted(this.desiredGroup);
     if (isPending) {
-      void this.orderUntilDone();
+      void this.sendUntilAccepted();
     }
   }
 
@@ -75,43 +76,47 @@
     this.isClosed = true;
   }
 
-  private async orderUntilDone(): Promise<void> {
-    if (this.isOrdering) {
+  private async sendUntilAccepted(): Promise<void> {
+    if (this.isSending) {
       return;
     }
-    this.isOrdering = true;
-    while (!this.isClosed && this.hasWork()) {
-      const isDone = await this.orderNext().catch(() => false);
+    this.isSending = true;
+    while (!this.isClosed && this.hasPendingOrder()) {
+      const isDone = await this.sendPendingOrder().catch(() => false);
       if (!isDone) {
         await new Promise(resolve => setTimeout(resolve, RETRY_MS));
       }
     }
-    this.isOrdering = false;
+    this.isSending = false;
   }
 
-  private hasWork(): boolean {
-    if (this.wanted) {
-      return !this.isInForce(this.wanted);
+  private hasPendingOrder(): boolean {
+    if (this.desiredGroup) {
+      return !this.hasAccepted(this.desiredGroup);
     }
-    return this.standby !== null && this.loadedInAdvance !== this.standby;
+    return (
+      this.standbyModel !== null && this.preloadedModel !== this.standbyModel
+    );
   }
 
-  private orderNext(): Promise<boolean> {
-    return this.wanted ? this.orderGroup(this.wanted) : this.orderStandby();
+  private sendPendingOrder(): Promise<boolean> {
+    return this.desiredGroup
+      ? this.sendGroupOrder(this.desiredGroup)
+      : this.sendLoadOrder();
   }
 
-  private async orderStandby(): Promise<boolean> {
+  private async sendLoadOrder(): Promise<boolean> {
     const url = this.options.findUrl();
-    const model = this.standby;
+    const model = this.standbyModel;
     if (!url || model === null) {
       return false;
     }
-    const isDone = await this.send(url, '/load', {model});
-    this.loadedInAdvance = isDone ? model : undefined;
+    const isDone = await this.sendOrder(url, '/load', {model});
+    this.preloadedModel = isDone ? model : undefined;
     return isDone;
   }
 
-  private async orderGroup(group: Group): Promise<boolean> {
+  private async sendGroupOrder(group: Group): Promise<boolean> {
     const {hostId, findUrl} = this.options;
     const url = findUrl();
     if (!url) {
@@ -120,7 +125,7 @@
     // Plain services take no orders.
     const isDone =
       group.kind === 'service' ||
-      (await this.send(url, '/orders', {
+      (await this.sendOrder(url, '/orders', {
         fencing: group.fencing,
         group: group.id,
         model: group.name,
@@ -129,12 +134,12 @@
       }));
     if (isDone) {
       this.accepted = {groupId: group.id, epoch: group.epoch, url};
-      this.loadedInAdvance = undefined;
+      this.preloadedModel = undefined;
     }
     return isDone;
   }
 
-  private async send(
+  private async sendOrder(
     url: string,
     path: string,
     order: object,
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -9,8 +9,8 @@
 import {MessageOf} from '../protocol/message_of';
 import {Peer} from '../protocol/peer';
 import {TransportSecurity} from '../transport/transport_security';
-import {EngineOrders} from './engine_orders';
-import {HeartbeatAsker} from './heartbeat_asker';
+import {EngineController} from './engine_controller';
+import {HeartbeatPoller} from './heartbeat_poller';
 
 /** Who the host is and what it works with. */
 interface GroupMemberOptions {
@@ -20,7 +20,7 @@
   readonly clock: Clock;
   /** For what others have promised this host: it never counts too short. */
   readonly leaseClock: Clock;
-  readonly orders: EngineOrders;
+  readonly engine: EngineController;
   readonly security?: TransportSecurity;
 }
 
@@ -33,16 +33,16 @@
 export class GroupMember {
   private readonly membership: Membership;
   private lease: GroupLease | undefined;
-  private asker: HeartbeatAsker | undefined;
+  private poller: HeartbeatPoller | undefined;
   /** How far the clock of leases is ahead of the other. */
-  private aheadMs = 0;
+  private clockOffsetMs = 0;
   /** When this process last found that it was away, on its steady clock. */
-  private wokeAt = -Infinity;
+  private resumedAt = -Infinity;
 
   private constructor(private readonly options: GroupMemberOptions) {
     const {clock, leaseClock} = options;
     this.membership = Membership.create(clock.now());
-    this.aheadMs = leaseClock.now() - clock.now();
+    this.clockOffsetMs = leaseClock.now() - clock.now();
   }
 
   /**
@@ -61,7 +61,7 @@
   }
 
   /** True while the process must not offer itself to control yet. */
-  isQuiet(now: number): boolean {
+  isInStartupDelay(now: number): boolean {
     return this.membership.isQuiet(now);
   }
 
@@ -71,7 +71,7 @@
       return false;
     }
     this.close();
-    this.options.orders.setWanted(group);
+    this.options.engine.setDesiredGroup(group);
     if (group?.members[0].hostId === this.options.hostId) {
       this.startLease(group);
     }
@@ -86,7 +86,7 @@
     const {id: askerId, incarnation} = peer.remote;
     const now = this.options.clock.now();
     const isMember =
-      this.hasOrders() &&
+      this.hasBackendAccepted() &&
       this.membership.answerHeartbeat(ask, {hostId: askerId, incarnation}, now);
     const {hostId} = this.options;
     const {groupId, epoch, nonce} = ask;
@@ -101,9 +101,9 @@
   }
 
   /** The backend server took the orders for the group and epoch. */
-  hasOrders(): boolean {
+  hasBackendAccepted(): boolean {
     const {group} = this;
-    return group !== null && this.options.orders.isInForce(group);
+    return group !== null && this.options.engine.hasAccepted(group);
   }
 
   /** Members without which the group must not serve. */
@@ -119,11 +119,15 @@
   /** True for a first member whose whole group is present and ready. */
   isServing(now: number): boolean {
     const isLeading = this.lease !== undefined;
-    return isLeading && this.hasOrders() && this.listMissing(now).length === 0;
+    return (
+      isLeading &&
+      this.hasBackendAccepted() &&
+      this.listMissing(now).length === 0
+    );
   }
 
   /** Why work for a group and epoch must stop; undefined while it may go on. */
-  checkRight(work: {groupId: string; epoch: number}): string | undefined {
+  findStopReason(work: {groupId: string; epoch: number}): string | undefined {
     const {group} = this;
     if (group?.id !== work.groupId || group.epoch !== work.epoch) {
       return 'the group moved on to another epoch';
@@ -135,13 +139,13 @@
   }
 
   /** What control is told. */
-  describe(now: number): GroupReport {
+  createGroupReport(now: number): GroupReport {
     const {group} = this;
     return {
       assignment: this.membership.describe(now),
       told: group && {fencing: group.fencing, isDraining: group.isDraining},
       isServing: this.isServing(now),
-      missing: this.isBackLately(now)
+      missing: this.hasResumedRecently(now)
         ? []
         : (this.lease?.listSilent(this.options.leaseClock.now()) ?? []),
     };
@@ -149,25 +153,25 @@
 
   /** Stops asking; the lease is over. */
   close(): void {
-    this.asker?.close();
-    this.asker = undefined;
+    this.poller?.close();
+    this.poller = undefined;
     this.lease = undefined;
   }
 
   /** After an own pause everybody has been silent, and nobody is lost for that. */
-  private isBackLately(now: number): boolean {
+  private hasResumedRecently(now: number): boolean {
     const aheadMs = this.options.leaseClock.now() - now;
-    if (aheadMs - this.aheadMs > HEARTBEAT_LEASE_MS) {
-      this.wokeAt = now;
+    if (aheadMs - this.clockOffsetMs > HEARTBEAT_LEASE_MS) {
+      this.resumedAt = now;
     }
-    this.aheadMs = aheadMs;
-    return now - this.wokeAt < HEARTBEAT_LEASE_MS;
+    this.clockOffsetMs = aheadMs;
+    return now - this.resumedAt < HEARTBEAT_LEASE_MS;
   }
 
   private startLease(group: Group): void {
     const {hostId, identity, leaseClock, security} = this.options;
     this.lease = GroupLease.create(group, hostId, leaseClock.now());
-    this.asker = HeartbeatAsker.create({
+    this.poller = HeartbeatPoller.create({
       group,
       lease: this.lease,
       identity,
--- a/src/host/heartbeat_asker.ts
+++ b/src/host/heartbeat_poller.ts
@@ -20,17 +20,17 @@
 }
 
 /** Keeps a lease fresh while every member answers. */
-export class HeartbeatAsker {
+export class HeartbeatPoller {
   private readonly peers = new Map<string, Peer>();
   private readonly connecting = new Set<string>();
-  private readonly askedAt = new Map<number, number>();
+  private readonly sentAtByNonce = new Map<number, number>();
   private readonly timer: NodeJS.Timeout;
   private nonce = 0;
   private isClosed = false;
 
   private constructor(private readonly options: HeartbeatAskerOptions) {
-    this.timer = setInterval(() => this.askAll(), ASK_EVERY_MS);
-    this.askAll();
+    this.timer = setInterval(() => this.probeMembers(), ASK_EVERY_MS);
+    this.probeMembers();
   }
 
   /**
@@ -39,8 +39,8 @@
    * @example
    * const asker = HeartbeatAsker.create({group, lease, identity, clock});
    */
-  static create(options: HeartbeatAskerOptions): HeartbeatAsker {
-    return new HeartbeatAsker(options);
+  static create(options: HeartbeatAskerOptions): HeartbeatPoller {
+    return new HeartbeatPoller(options);
   }
 
   close(): void {
@@ -49,7 +49,7 @@
     this.peers.forEach(peer => peer.close());
   }
 
-  private askAll(): void {
+  private probeMembers(): void {
     const {group, lease, clock} = this.options;
     for (const member of lease.others) {
       const peer = this.peers.get(member.hostId);
@@ -58,7 +58,7 @@
         continue;
       }
       this.nonce += 1;
-      this.askedAt.set(this.nonce, clock.now());
+      this.sentAtByNonce.set(this.nonce, clock.now());
       peer.send({
         type: 'heartbeat-ask',
         groupId: group.id,
@@ -90,7 +90,7 @@
           this.receive(message);
         }
       });
-      this.askAll();
+      this.probeMembers();
     } catch {
       // The next round tries again; the lease runs out meanwhile.
     } finally {
@@ -102,7 +102,7 @@
     answer: MessageOf<MembershipMessage, 'heartbeat-answer'>,
   ): void {
     const {group, lease} = this.options;
-    const askedAt = this.askedAt.get(answer.nonce);
+    const askedAt = this.sentAtByNonce.get(answer.nonce);
     const isAboutGroup =
       answer.groupId === group.id && answer.epoch === group.epoch;
     if (askedAt === undefined || !isAboutGroup) {
@@ -117,11 +117,11 @@
 
   private removeOldNonces(): void {
     const MAX_NONCES = 1_024;
-    for (const nonce of this.askedAt.keys()) {
-      if (this.askedAt.size <= MAX_NONCES) {
+    for (const nonce of this.sentAtByNonce.keys()) {
+      if (this.sentAtByNonce.size <= MAX_NONCES) {
         return;
       }
-      this.askedAt.delete(nonce);
+      this.sentAtByNonce.delete(nonce);
     }
   }
 }
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -18,13 +18,13 @@
 import {FrameServer} from '../transport/frame_server';
 import {HttpBackend} from '../transport/http_backend';
 import {HttpListener} from '../transport/http_listener';
-import {listenForAnnouncements} from './announce_listener';
-import {BackendSlot} from './backend_slot';
+import {listenForAnnouncements} from './listen_for_announcements';
+import {LocalBackend} from './local_backend';
 import {ControlSession} from './control_session';
-import {EngineOrders} from './engine_orders';
+import {EngineController} from './engine_controller';
 import {GroupMember} from './group_member';
 import {HostSettings} from './host_settings';
-import {WorkRunner} from './work_runner';
+import {AttemptRunner} from './attempt_runner';
 
 const CHECK_EVERY_MS = 50;
 /** How long a stopping host waits for its release after its last request. */
@@ -45,10 +45,10 @@
       recordPause(this.events, 'host', this.settings.hostId, pause),
   });
   private readonly backend = HttpBackend.create();
-  private readonly slot = BackendSlot.create(this.clock);
-  private readonly orders: EngineOrders;
+  private readonly localBackend = LocalBackend.create(this.clock);
+  private readonly engine: EngineController;
   private readonly member: GroupMember;
-  private readonly runner: WorkRunner;
+  private readonly runner: AttemptRunner;
   private readonly timers: NodeJS.Timeout[] = [];
   private session: ControlSession | undefined;
   private server: FrameServer | undefined;
@@ -58,27 +58,28 @@
   private wasServing = false;
 
   private constructor(private readonly settings: HostSettings) {
-    this.orders = EngineOrders.create({
+    this.engine = EngineController.create({
       hostId: settings.hostId,
       backend: this.backend,
-      findUrl: () => this.slot.current?.url,
+      findUrl: () => this.localBackend.current?.url,
     });
     this.member = GroupMember.create({
       hostId: settings.hostId,
       identity: this.identity,
       clock: this.clock,
       leaseClock: this.leaseClock,
-      orders: this.orders,
+      engine: this.engine,
       security: settings.security,
     });
-    this.runner = WorkRunner.create({
+    this.runner = AttemptRunner.create({
       incarnation: this.incarnation,
       clock: this.leaseClock,
       events: this.events,
       backend: this.backend,
-      findBackendUrl: () => this.slot.current?.url,
-      refuse: (dispatch, now) => this.refuse(dispatch, now),
-      checkRight: dispatch => this.member.checkRight(dispatch),
+      findBackendUrl: () => this.localBackend.current?.url,
+      findRefusalReason: (dispatch, now) =>
+        this.findRefusalReason(dispatch, now),
+      findStopReason: dispatch => this.member.findStopReason(dispatch),
     });
   }
 
@@ -114,7 +115,7 @@
     const {clock, runner} = this;
     this.isLeaving = true;
     this.record('leaving', 'the process was told to stop');
-    this.session?.reportSoon();
+    this.session?.reportNow();
     const schedule = StopSchedule.create({
       withinMs: this.settings.stopWithinMs,
     });
@@ -148,7 +149,7 @@
     this.timers.forEach(timer => clearInterval(timer));
     this.session?.close();
     this.member.close();
-    this.orders.close();
+    this.engine.close();
     this.runner.close();
     await this.server?.close();
     await this.announceListener?.close();
@@ -168,16 +169,16 @@
       host: settings.announceHost,
       port: settings.announcePort,
       onAnnounce: announcement => {
-        if (this.slot.announce(announcement)) {
+        if (this.localBackend.recordAnnouncement(announcement)) {
           this.record(
             'backend-announced',
             `${announcement.kind} ${announcement.name}`,
           );
-          this.orders.refresh();
-          this.session?.reportSoon();
+          this.engine.refresh();
+          this.session?.reportNow();
         }
       },
-      describe: () => this.describe(),
+      createStatus: () => this.createStatus(),
     });
     this.session = ControlSession.create({
       client: ControlClient.create({
@@ -189,7 +190,7 @@
       createReport: () => this.createReport(),
       onDirective: directive => this.applyDirective(directive),
     });
-    this.timers.push(setInterval(() => this.check(), CHECK_EVERY_MS));
+    this.timers.push(setInterval(() => this.checkServing(), CHECK_EVERY_MS));
   }
 
   private get identity() {
@@ -200,7 +201,7 @@
   private async acceptPeer(connection: FrameConnection): Promise<void> {
     const peer = await Peer.create(connection, this.identity);
     if (peer.remote.program === 'entry') {
-      this.runner.accept(peer);
+      this.runner.acceptEntry(peer);
       return;
     }
     void peer.messages.observe(message => {
@@ -216,7 +217,7 @@
     if (directive.bundle) {
       this.setBundle(Bundle.parse(JSON.parse(directive.bundle.document)));
     }
-    this.orders.setStandby(directive.standby);
+    this.engine.setStandbyModel(directive.standby);
     if (directive.group !== undefined) {
       this.assignGroup(directive.group);
     }
@@ -226,10 +227,10 @@
     if (!this.member.assign(group)) {
       return;
     }
-    this.runner.stopUnlawful();
+    this.runner.stopUnauthorized();
     const name = group ? `${group.id} epoch ${group.epoch}` : 'no group';
     this.record('assigned', `control assigned ${name}`);
-    this.session?.reportSoon();
+    this.session?.reportNow();
   }
 
   private setBundle(bundle: Bundle): void {
@@ -239,7 +240,7 @@
     }
   }
 
-  private refuse(
+  private findRefusalReason(
     dispatch: MessageOf<WorkMessage, 'dispatch'>,
     now: number,
   ): string | undefined {
@@ -251,16 +252,17 @@
         group: member.group ?? undefined,
         missing: member.listMissing(this.clock.now()),
         hasBundleLease: this.session?.hasLease(now) ?? false,
-        hasBackend: member.hasOrders(),
-        isLeaving: this.isLeaving || (this.slot.current?.isLeaving ?? false),
+        hasBackend: member.hasBackendAccepted(),
+        isLeaving:
+          this.isLeaving || (this.localBackend.current?.isLeaving ?? false),
         now,
       },
       dispatch,
     );
   }
 
-  private check(): void {
-    this.orders.refresh();
+  private checkServing(): void {
+    this.engine.refresh();
     const now = this.clock.now();
     const isServing = this.member.isServing(now);
     if (isServing === this.wasServing) {
@@ -275,17 +277,17 @@
       isServing ? 'serving' : 'stopped-serving',
       isServing ? 'every member is present' : reason,
     );
-    this.runner.stopUnlawful();
-    this.session?.reportSoon();
+    this.runner.stopUnauthorized();
+    this.session?.reportNow();
   }
 
   private createReport(): HostReport | undefined {
     const now = this.clock.now();
-    if (this.member.isQuiet(now)) {
+    if (this.member.isInStartupDelay(now)) {
       return undefined;
     }
     const {hostId, zone, domain, host, advertise} = this.settings;
-    const backend = this.slot.current;
+    const backend = this.localBackend.current;
     return {
       hostId,
       incarnation: this.incarnation,
@@ -300,7 +302,7 @@
           }
         : null,
       isLeaving: this.isLeaving || (backend?.isLeaving ?? false),
-      ...this.member.describe(now),
+      ...this.member.createGroupReport(now),
       running: this.runner.runningCount,
       // A group that was told to drain starts nothing new, so this stays true.
       isDrained:
@@ -310,7 +312,7 @@
     };
   }
 
-  private describe(): object {
+  private createStatus(): object {
     return {
       report: this.createReport() ?? null,
       events: this.events.listSince(0),
--- a/src/host/announce_listener.ts
+++ b/src/host/listen_for_announcements.ts
@@ -12,7 +12,7 @@
   readonly port: number;
   readonly onAnnounce: (announcement: BackendAnnouncement) => void;
   /** What `GET /status` shows. */
-  readonly describe: () => object;
+  readonly createStatus: () => object;
 }
 
 /**
@@ -44,7 +44,7 @@
 ): Promise<void> {
   const route = `${request.method} ${request.url}`;
   if (route === 'GET /status') {
-    answerJson(response, 200, options.describe());
+    answerJson(response, 200, options.createStatus());
     return;
   }
   if (route !== 'POST /announce') {
--- a/src/host/backend_slot.ts
+++ b/src/host/local_backend.ts
@@ -6,7 +6,7 @@
 const PRESENT_MS = 3_000;
 
 /** Holds the newest announcement for as long as it is fresh. */
-export class BackendSlot {
+export class LocalBackend {
   private announcement: BackendAnnouncement | undefined;
   private announcedAt = -Infinity;
 
@@ -18,8 +18,8 @@
    * @example
    * const slot = BackendSlot.create(systemClock);
    */
-  static create(clock: Clock): BackendSlot {
-    return new BackendSlot(clock);
+  static create(clock: Clock): LocalBackend {
+    return new LocalBackend(clock);
   }
 
   /** The backend server, if it announced itself lately. */
@@ -29,7 +29,7 @@
   }
 
   /** Takes an announcement; true when it differs from the one before. */
-  announce(announcement: BackendAnnouncement): boolean {
+  recordAnnouncement(announcement: BackendAnnouncement): boolean {
     const isChange =
       JSON.stringify(this.current) !== JSON.stringify(announcement);
     this.announcement = announcement;
--- a/src/host/running_attempt.ts
+++ b/src/host/running_attempt.ts
@@ -26,7 +26,7 @@
   readonly epoch: number;
   readonly send: (message: WorkMessage) => void;
   /** Called before anything is passed on; a text stops the attempt. */
-  readonly checkRight: () => string | undefined;
+  readonly findStopReason: () => string | undefined;
 }
 
 /** Runs one attempt and sends its answer in frames, within the given credit. */
@@ -37,7 +37,7 @@
   private credit: number;
   private resumeSending: (() => void) | undefined;
   private sequence = 0;
-  private stopped: AttemptEnd | undefined;
+  private stopEnd: AttemptEnd | undefined;
 
   private constructor(private readonly options: RunningAttemptOptions) {
     this.credit = options.dispatch.credit;
@@ -62,7 +62,7 @@
 
   /** Stops the work; the first reason stands. */
   stop(end: AttemptEnd): void {
-    this.stopped ??= end;
+    this.stopEnd ??= end;
     this.abort.abort();
     this.resumeSending?.();
   }
@@ -73,7 +73,7 @@
     try {
       end = await this.forward();
     } catch (error) {
-      if (isNeverSent(error) && !this.stopped) {
+      if (isNeverSent(error) && !this.stopEnd) {
         const reason = 'the backend server does not accept connections';
         send({
           type: 'refused',
@@ -83,7 +83,7 @@
         });
         return {outcome: 'not-run', reason};
       }
-      end = this.stopped ?? {
+      end = this.stopEnd ?? {
         outcome: 'unknown',
         reason: (error as Error).message,
       };
@@ -115,7 +115,7 @@
       body,
       signal: this.abort.signal,
     });
-    this.checkStillAllowed();
+    this.checkNotStopped();
     send({
       type: 'head',
       stream,
@@ -126,8 +126,8 @@
       answer.headers['content-type']?.startsWith(EVENT_STREAM) ?? false;
     const splitter = isEvents ? SseSplitter.create() : undefined;
     for await (const chunk of answer.body) {
-      this.checkStillAllowed();
-      await this.sendPieces(splitter ? splitter.split(chunk) : chunk);
+      this.checkNotStopped();
+      await this.sendChunks(splitter ? splitter.split(chunk) : chunk);
       if ((splitter?.pendingBytes ?? 0) > MAX_EVENT_BYTES) {
         return {
           outcome: 'failed',
@@ -135,7 +135,7 @@
         };
       }
     }
-    this.checkStillAllowed();
+    this.checkNotStopped();
     if (answer.status >= SERVER_ERROR) {
       return {
         outcome: 'failed',
@@ -151,12 +151,12 @@
     return {outcome: 'answered', reason: ''};
   }
 
-  private async sendPieces(bytes: Buffer): Promise<void> {
+  private async sendChunks(bytes: Buffer): Promise<void> {
     for (let offset = 0; offset < bytes.length; offset += MAX_PIECE_BYTES) {
       const piece = bytes.subarray(offset, offset + MAX_PIECE_BYTES);
       while (this.credit <= 0) {
         await new Promise<void>(resolve => (this.resumeSending = resolve));
-        this.checkStillAllowed();
+        this.checkNotStopped();
       }
       this.credit -= piece.length;
       const {stream} = this.options.dispatch;
@@ -170,13 +170,13 @@
     }
   }
 
-  private checkStillAllowed(): void {
-    const refusal = this.options.checkRight();
+  private checkNotStopped(): void {
+    const refusal = this.options.findStopReason();
     if (refusal) {
       this.stop({outcome: 'failed', reason: refusal});
     }
-    if (this.stopped) {
-      throw new TransportError({name: 'Stopped'}, this.stopped.reason);
+    if (this.stopEnd) {
+      throw new TransportError({name: 'Stopped'}, this.stopEnd.reason);
     }
   }
 }
--- a/test/entry/caller_response.test.ts
+++ b/test/entry/caller_response.test.ts
@@ -30,7 +30,7 @@
   answer.start(200, {'content-type': 'text/event-stream'});
   let released = 0;
   for (let attempt = 0; attempt < 20; attempt += 1) {
-    answer.watchGone(() => undefined);
+    answer.watchDisconnect(() => undefined);
     answer.write(Buffer.alloc(1024 * 1024), () => (released += 1));
   }
 
@@ -45,8 +45,8 @@
   const response = await respondToSilentReader();
   const answer = CallerResponse.create(response);
   const told: string[] = [];
-  answer.watchGone(() => told.push('first'));
-  answer.watchGone(() => told.push('second'));
+  answer.watchDisconnect(() => told.push('first'));
+  answer.watchDisconnect(() => told.push('second'));
   response.destroy();
   await waitUntil('the end', () => told.length > 0);
 
--- a/test/entry/request_runner.test.ts
+++ b/test/entry/request_runner.test.ts
@@ -4,10 +4,10 @@
 import {systemClock} from '../../src/common/system_clock';
 import {CallerRequest} from '../../src/entry/caller_request';
 import {CallerResponse} from '../../src/entry/caller_response';
-import {HostLinks} from '../../src/entry/host_links';
-import {OnceOnly} from '../../src/entry/once_only';
+import {HostConnections} from '../../src/entry/host_connections';
+import {IdempotencyClaims} from '../../src/entry/idempotency_claims';
 import {RequestRunner} from '../../src/entry/request_runner';
-import {RouteTable} from '../../src/entry/route_table';
+import {RoutingTable} from '../../src/entry/routing_table';
 import {ControlClient} from '../../src/protocol/control_client';
 import {Group} from '../../src/protocol/group';
 import {WorkMessage} from '../../src/protocol/work_message';
@@ -36,17 +36,17 @@
   hosts: readonly FakeHost[],
   changes: Partial<CallerRequest> = {},
 ) {
-  const links = HostLinks.create({identity, clock: systemClock});
+  const links = HostConnections.create({identity, clock: systemClock});
   const groups = hosts.map((host, at) => createGroup(`g${at}`, host.address));
-  links.setWanted(hosts.map(host => host.address));
+  links.setAddresses(hosts.map(host => host.address));
   await waitUntil('links', () => hosts.every(host => links.find(host.address)));
   const runner = RequestRunner.create({
     clock: systemClock,
-    table: {groups} as unknown as RouteTable,
-    links,
-    onceOnly: OnceOnly.create({
+    table: {groups} as unknown as RoutingTable,
+    connections: links,
+    claims: IdempotencyClaims.create({
       client: ControlClient.create({addresses: [], identity}),
-      links,
+      connections: links,
     }),
     // Always the replica that comes first among those not tried.
     random: () => 0,
--- a/test/host/heartbeat_asker.test.ts
+++ b/test/host/heartbeat_poller.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {GroupLease} from '../../src/coordination/groups/group_lease';
-import {HeartbeatAsker} from '../../src/host/heartbeat_asker';
+import {HeartbeatPoller} from '../../src/host/heartbeat_poller';
 import {MembershipMessage} from '../../src/protocol/membership_message';
 import {MessageOf} from '../../src/protocol/message_of';
 import {Peer} from '../../src/protocol/peer';
@@ -46,7 +46,7 @@
     0,
   );
   const identity = {program: 'host', id: 'h1', incarnation: 'i'} as const;
-  const asker = HeartbeatAsker.create({
+  const asker = HeartbeatPoller.create({
     group: lease.group,
     lease,
     identity,
--- a/test/host/suspended_member.test.ts
+++ b/test/host/suspended_member.test.ts
@@ -5,7 +5,7 @@
  * only and might serve in another group: two groups with one host would have run.
  */
 import {expect, test} from 'vitest';
-import {EngineOrders} from '../../src/host/engine_orders';
+import {EngineController} from '../../src/host/engine_controller';
 import {GroupMember} from '../../src/host/group_member';
 import {Peer} from '../../src/protocol/peer';
 import {FrameServer} from '../../src/transport/frame_server';
@@ -36,13 +36,13 @@
 test('the first member of a group that was suspended counts on no heartbeat from before', async () => {
   const server = await startMember();
   let away = 0;
-  const orders = {setWanted: () => undefined, isInForce: () => true};
+  const orders = {setDesiredGroup: () => undefined, hasAccepted: () => true};
   const options = {
     hostId: 'h1',
     identity: {program: 'host', id: 'h1', incarnation: 'i'} as const,
     clock: {now: () => performance.now()},
     leaseClock: {now: () => performance.now() + away},
-    orders: orders as unknown as EngineOrders,
+    engine: orders as unknown as EngineController,
   };
   const member = GroupMember.create(options);
   member.assign({
@@ -63,7 +63,7 @@
 
   away = AWAY_MS;
   expect(member.isServing(performance.now())).toBe(false);
-  expect(member.checkRight({groupId: 'g', epoch: 1})).toContain('h2');
+  expect(member.findStopReason({groupId: 'g', epoch: 1})).toContain('h2');
   await waitUntil('a new heartbeat', () => member.isServing(performance.now()));
   member.close();
   await server.close();
