--- a/src/host/engine_controller.ts
+++ b/src/host/engine_controller.ts
@@ -21,7 +21,7 @@
 export class EngineController {
   private desiredGroup: Group | null = null;
   private standbyModel: string | null = null;
-  private preloadedModel: string | undefined;
+  private preloaded: string | undefined;
   private accepted: {groupId: string; epoch: number; url: string} | undefined;
   private isSending = false;
   private isClosed = false;
@@ -47,7 +47,7 @@
   /** Wants an engine that has no group to load this model in advance. */
   setStandbyModel(model: string | null): void {
     this.standbyModel = model;
-    const isPending = model !== null && this.preloadedModel !== model;
+    const isPending = model !== null && this.preloaded !== model;
     if (this.desiredGroup === null && isPending) {
       void this.sendUntilAccepted();
     }
@@ -94,9 +94,7 @@
     if (this.desiredGroup) {
       return !this.hasAccepted(this.desiredGroup);
     }
-    return (
-      this.standbyModel !== null && this.preloadedModel !== this.standbyModel
-    );
+    return this.standbyModel !== null && this.preloaded !== this.standbyModel;
   }
 
   private sendPendingOrder(): Promise<boolean> {
@@ -112,7 +110,7 @@
       return false;
     }
     const isDone = await this.sendOrder(url, '/load', {model});
-    this.preloadedModel = isDone ? model : undefined;
+    this.preloaded = isDone ? model : undefined;
     return isDone;
   }
 
@@ -134,7 +132,7 @@
       }));
     if (isDone) {
       this.accepted = {groupId: group.id, epoch: group.epoch, url};
-      this.preloadedModel = undefined;
+      this.preloaded = undefined;
     }
     return isDone;
   }
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -86,7 +86,7 @@
     const {id: askerId, incarnation} = peer.remote;
     const now = this.options.clock.now();
     const isMember =
-      this.hasBackendAccepted() &&
+      this.hasBackend() &&
       this.membership.answerHeartbeat(ask, {hostId: askerId, incarnation}, now);
     const {hostId} = this.options;
     const {groupId, epoch, nonce} = ask;
@@ -101,7 +101,7 @@
   }
 
   /** The backend server took the orders for the group and epoch. */
-  hasBackendAccepted(): boolean {
+  hasBackend(): boolean {
     const {group} = this;
     return group !== null && this.options.engine.hasAccepted(group);
   }
@@ -119,11 +119,7 @@
   /** True for a first member whose whole group is present and ready. */
   isServing(now: number): boolean {
     const isLeading = this.lease !== undefined;
-    return (
-      isLeading &&
-      this.hasBackendAccepted() &&
-      this.listMissing(now).length === 0
-    );
+    return isLeading && this.hasBackend() && this.listMissing(now).length === 0;
   }
 
   /** Why work for a group and epoch must stop; undefined while it may go on. */
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -252,7 +252,7 @@
         group: member.group ?? undefined,
         missing: member.listMissing(this.clock.now()),
         hasBundleLease: this.session?.hasLease(now) ?? false,
-        hasBackend: member.hasBackendAccepted(),
+        hasBackend: member.hasBackend(),
         isLeaving:
           this.isLeaving || (this.localBackend.current?.isLeaving ?? false),
         now,
