--- a/src/entry/attempt_callbacks.ts
+++ b/src/entry/attempt_callbacks.ts
@@ -1,22 +1,22 @@
 import {Outcome} from '../protocol/outcome';
 
-/** What becomes of one attempt, told step by step to whoever started it. */
+/** Callbacks for the response to one attempt, in the order in which it arrives. */
 export interface AttemptCallbacks {
   readonly onHead: (
     status: number,
     headers: Readonly<Record<string, string>>,
   ) => void;
-  /** Return the call that gives the credit back once the bytes are written. */
-  readonly onData: (bytes: Uint8Array, giveBack: () => void) => void;
-  /** Told once, as the last thing. */
+  /** Call `returnCredit` once the bytes are written; the host may then send more. */
+  readonly onData: (bytes: Uint8Array, returnCredit: () => void) => void;
+  /** Called exactly once, after all others. */
   readonly onEnd: (end: AttemptEnd) => void;
 }
 
-/** How an attempt ended for the entry. */
+/** How an attempt ended, as far as the entry knows. */
 interface AttemptEnd {
   readonly outcome: Outcome;
   readonly reason: string;
   readonly retryAfterMs?: number;
-  /** The connection went away, so the host process may know more. */
+  /** The connection was lost; the host process may still know the outcome. */
   readonly isConnectionLost?: boolean;
 }
--- a/src/entry/caller_response.ts
+++ b/src/entry/caller_response.ts
@@ -1,29 +1,29 @@
-/** Writes one answer to one caller: whole, or as a stream with an explicit end. */
+/** The HTTP response to one caller: a buffered body, or an event stream with an explicit end. */
 import {ServerResponse} from 'node:http';
 import {Outcome} from '../protocol/outcome';
 import {Problem} from './problem';
 import {sendProblem} from './send_problem';
 
-/** Whole answers up to this size are held until their outcome is known. */
-const MAX_HELD_BYTES = 1024 * 1024;
+/** Bodies up to this size are buffered until the outcome of the attempt is known. */
+const MAX_BUFFERED_BYTES = 1024 * 1024;
 const OUTCOME_HEADER = 'whinreel-outcome';
 const RESUMED_FROM_HEADER = 'whinreel-resumed-from';
 const LINE_FEED = 10;
 const OK = 200;
 const EVENT_STREAM = 'text/event-stream';
-const DROPPED_HEADERS = new Set([
+const NOT_FORWARDED_HEADERS = new Set([
   'connection',
   'keep-alive',
   'transfer-encoding',
   'content-length',
 ]);
 
-/** Turns the frames of an attempt into HTTP. */
+/** Writes the frames of one or more attempts to one HTTP response. */
 export class CallerResponse {
   private bufferedChunks: Uint8Array[] | undefined;
-  /** Told when the caller goes away. */
+  /** Called when the caller disconnects. */
   private onDisconnect: (() => void) | undefined;
-  /** Told when there is room for more. */
+  /** Called when the socket drains or closes. */
   private readonly drainCallbacks: Array<() => void> = [];
   private bufferedBytes = 0;
   private isEvents = false;
@@ -36,35 +36,35 @@
    * Wraps a response whose headers were not sent.
    *
    * @example
-   * const answer = CallerResponse.create(response);
+   * const callerResponse = CallerResponse.create(response);
    */
   static create(response: ServerResponse): CallerResponse {
     return new CallerResponse(response);
   }
 
-  /** Part of an answer has left: it cannot be started over. */
+  /** Part of the body was sent, so the response cannot start over. */
   get hasDelivered(): boolean {
     return this.hasDeliveredData;
   }
 
-  /** Whole events that the caller was sent. */
+  /** Number of complete events sent to the caller. */
   get deliveredEventCount(): number {
     return this.eventCount;
   }
 
-  /** A broken stream can be taken up by another replica behind its last event. */
+  /** Another replica can continue the interrupted event stream after its last event. */
   get canResume(): boolean {
     return this.hasDeliveredData && this.isEvents && !this.isDisconnected;
   }
 
-  /** The caller went away before the end. */
+  /** The connection to the caller is closed. */
   get isDisconnected(): boolean {
     return this.response.destroyed;
   }
 
   /**
-   * Calls back if the caller goes away before the end. Of several attempts only
-   * the newest is told.
+   * Calls back if the caller disconnects before the response is complete.
+   * Replaces the callback of an earlier attempt.
    */
   watchDisconnect(callback: () => void): void {
     if (!this.onDisconnect) {
@@ -77,14 +77,14 @@
     this.onDisconnect = callback;
   }
 
-  /** Takes the status and headers; forgets those of an earlier attempt. */
+  /** Sets the status and headers, and discards the buffered body of an earlier attempt. */
   start(status: number, headers: Readonly<Record<string, string>>): void {
     this.isEvents = headers['content-type']?.startsWith(EVENT_STREAM) ?? false;
     this.bufferedChunks = this.isEvents ? undefined : [];
     this.bufferedBytes = 0;
     this.response.statusCode = status;
     for (const [name, value] of Object.entries(headers)) {
-      if (!DROPPED_HEADERS.has(name)) {
+      if (!NOT_FORWARDED_HEADERS.has(name)) {
         this.response.setHeader(name, value);
       }
     }
@@ -94,22 +94,22 @@
   }
 
   /**
-   * Goes on with the answer of another attempt; false when that attempt does
-   * not start behind the last event that the caller was sent.
+   * Returns whether the response to another attempt continues right after the
+   * last event that was sent to the caller.
    */
   isContinuedBy(
     status: number,
     headers: Readonly<Record<string, string>>,
   ): boolean {
-    const from = headers[RESUMED_FROM_HEADER];
-    return status === OK && from === String(this.eventCount);
+    const resumedFrom = headers[RESUMED_FROM_HEADER];
+    return status === OK && resumedFrom === String(this.eventCount);
   }
 
-  /** Writes a part of the answer; `onWritten` is called when there is room for more. */
+  /** Buffers or sends a chunk of the body; `onWritten` is called when there is room for more. */
   write(bytes: Uint8Array, onWritten: () => void): void {
     if (
       this.bufferedChunks &&
-      this.bufferedBytes + bytes.length <= MAX_HELD_BYTES
+      this.bufferedBytes + bytes.length <= MAX_BUFFERED_BYTES
     ) {
       this.bufferedChunks.push(bytes);
       this.bufferedBytes += bytes.length;
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Ends an answer that is whole. */
+  /** Ends a complete response. */
   finish(): void {
     if (this.bufferedChunks) {
       this.response.setHeader(OUTCOME_HEADER, 'answered');
@@ -139,7 +139,7 @@
     this.response.end();
   }
 
-  /** Ends an answer that is not whole: with a problem, an error event, or a broken connection. */
+  /** Ends an incomplete response: with a problem document, an error event, or a closed connection. */
   fail(problem: Problem): void {
     if (!this.hasDeliveredData) {
       this.clearHeaders();
@@ -147,7 +147,7 @@
       return;
     }
     if (!this.isEvents) {
-      // Only a broken transfer tells the caller of a plain body that it is short.
+      // Only an aborted connection shows the caller that a body without events is truncated.
       this.response.destroy();
       return;
     }
@@ -162,7 +162,10 @@
     this.response.end();
   }
 
-  /** A caller that goes away never drains, but work that runs once must go on. */
+  /**
+   * Waits for 'close' too: a socket whose caller disconnected never drains, but an
+   * attempt that must run at most once has to continue.
+   */
   private waitForDrain(onWritten: () => void): void {
     this.drainCallbacks.push(onWritten);
     if (this.drainCallbacks.length > 1) {
@@ -178,9 +181,9 @@
   }
 
   private flushBuffered(): void {
-    const held = this.bufferedChunks;
+    const chunks = this.bufferedChunks;
     this.bufferedChunks = undefined;
-    held?.forEach(bytes => this.response.write(bytes));
+    chunks?.forEach(bytes => this.response.write(bytes));
   }
 
   private addTrailer(outcome: Outcome): void {
@@ -198,11 +201,11 @@
   }
 }
 
-/** Frames hold whole events, so each ends with an empty line. */
+/** Counts empty lines: each ends an event, and a frame holds complete events only. */
 function countEvents(bytes: Uint8Array): number {
   let count = 0;
-  for (let at = 1; at < bytes.length; at += 1) {
-    if (bytes[at] === LINE_FEED && bytes[at - 1] === LINE_FEED) {
+  for (let index = 1; index < bytes.length; index += 1) {
+    if (bytes[index] === LINE_FEED && bytes[index - 1] === LINE_FEED) {
       count += 1;
     }
   }
--- a/src/entry/entry_server.ts
+++ b/src/entry/entry_server.ts
@@ -1,4 +1,4 @@
-/** The process that callers talk to: admits, routes, streams answers, retries. */
+/** The process that callers connect to: authenticates, admits, routes and retries requests, and streams the responses. */
 import {randomBytes} from 'node:crypto';
 import {IncomingMessage, ServerResponse} from 'node:http';
 import {EventRing} from '../common/event_ring';
@@ -25,23 +25,23 @@
 import {sendProblem} from './send_problem';
 
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
-const RETRY_WHEN_FULL_MS = 1_000;
-const RETRY_WHEN_STARTING_MS = 1_000;
+const RETRY_AFTER_LIMIT_MS = 1_000;
+const RETRY_AFTER_NOT_READY_MS = 1_000;
 
-const NOT_CONFIRMED: Problem = {
+const NOT_READY: Problem = {
   status: 503,
   title: 'Not ready',
   detail: 'control did not confirm the bundle',
   outcome: 'not-run',
-  retryAfterMs: RETRY_WHEN_STARTING_MS,
+  retryAfterMs: RETRY_AFTER_NOT_READY_MS,
 };
 
 const STOPPING: Problem = {
-  ...NOT_CONFIRMED,
+  ...NOT_READY,
   detail: 'this entry is stopping',
 };
 
-const GIVEN_UP: Problem = {
+const ABANDONED: Problem = {
   status: 502,
   title: 'Given up',
   detail: 'this entry stopped before the answer was whole',
@@ -62,10 +62,10 @@
 
 /** A running entry process. */
 export class EntryServer {
-  /** What happened here, newest in memory. */
+  /** Recent events of this process, kept in memory. */
   readonly events = EventRing.create();
   private readonly clock = systemClock;
-  /** For the right to act on the bundle, which a suspension ends. */
+  /** Measures the bundle lease, which must also expire while the machine is suspended. */
   private readonly leaseClock = LeaseClock.create({
     steady: systemClock,
     wall: () => Date.now(),
@@ -78,9 +78,9 @@
   private readonly runner: RequestRunner;
   private readonly claimClient: ControlClient;
   private readonly schedule: StopSchedule;
-  /** Answers that have not left, to the last byte. */
+  /** Responses that have not been sent completely. */
   private readonly openResponses = new Set<ServerResponse>();
-  /** Those of requests that were taken. */
+  /** Responses to requests that were admitted. */
   private readonly acceptedResponses = new Set<ServerResponse>();
   private listener: HttpListener | undefined;
 
@@ -122,9 +122,9 @@
   }
 
   /**
-   * Listens for callers and follows control.
+   * Listens for callers and keeps up to date with control.
    *
-   * @throws TransportError when the address cannot be taken
+   * @throws TransportError when the address cannot be bound
    * @example
    * const entry = await EntryServer.create(settings);
    */
@@ -149,7 +149,10 @@
     return this.listener?.port ?? 0;
   }
 
-  /** Answers what comes until callers have noticed, then stops when what was taken is answered. */
+  /**
+   * Shuts down gracefully: serves until callers have noticed, then stops once every
+   * accepted request is answered or the time for the stop is over.
+   */
   async drain(): Promise<void> {
     const {givenUp} = await runStop({
       schedule: this.schedule,
@@ -158,8 +161,8 @@
       countOpen: () => this.openResponses.size,
       stopAccepting: () => this.listener?.stopAccepting(),
       giveUp: () =>
-        this.openResponses.forEach(answer =>
-          giveUp(answer, this.acceptedResponses.has(answer)),
+        this.openResponses.forEach(response =>
+          abandonResponse(response, this.acceptedResponses.has(response)),
         ),
     });
     this.events.record({
@@ -168,14 +171,14 @@
       id: this.settings.entryId,
       reason:
         givenUp === 0
-          ? 'nothing is under way'
-          : 'the time for the stop is over',
+          ? 'all accepted requests were answered'
+          : 'requests were still in flight at the stop deadline',
       details: {givenUp},
     });
     await this.close();
   }
 
-  /** Stops at once. */
+  /** Stops without waiting for requests in flight. */
   async close(): Promise<void> {
     await this.listener?.close();
     this.table.close();
@@ -229,12 +232,12 @@
     response.setHeader('whinreel-request-id', requestId);
     const {bundle} = this.table;
     if (!bundle || !this.table.hasLease(this.leaseClock.now())) {
-      sendProblem(response, NOT_CONFIRMED);
+      sendProblem(response, NOT_READY);
       return;
     }
     const workspace = findWorkspace(request, bundle);
     if (!workspace) {
-      // Nobody without a key may make an entry hold a body.
+      // A caller without a key must not make the entry buffer a body.
       await readHttpBody(request, 0).catch(() => undefined);
       sendProblem(response, UNKNOWN_KEY);
       return;
@@ -249,7 +252,7 @@
       now: this.clock.now(),
     };
     response.shouldKeepAlive &&= !this.schedule.hasBegun;
-    // Asked once the body is here, which may have taken longer than the stop has left.
+    // Checked after the body was read, which may have taken longer than the time left for the stop.
     if (!this.schedule.canTake(input.now, 0)) {
       sendProblem(response, STOPPING);
       return;
@@ -274,19 +277,19 @@
         title: 'Too many requests',
         detail: `workspace ${request.workspace} has ${limit} requests in flight at this entry`,
         outcome: 'not-run',
-        retryAfterMs: RETRY_WHEN_FULL_MS,
+        retryAfterMs: RETRY_AFTER_LIMIT_MS,
       });
       return;
     }
     this.acceptedResponses.add(response);
     try {
-      const end = await this.runner.run(
+      const result = await this.runner.run(
         request,
         CallerResponse.create(response),
       );
-      if (end.outcome !== 'answered') {
+      if (result.outcome !== 'answered') {
         const {requestId: id} = request;
-        const {outcome, reason, attempts} = end;
+        const {outcome, reason, attempts} = result;
         const details = {workspace: request.workspace, attempts};
         this.events.record({
           type: `request-${outcome}`,
@@ -316,7 +319,7 @@
   }
 
   private recordBundle(bundle: Bundle): void {
-    const reason = `version ${bundle.version} is in force here`;
+    const reason = `bundle version ${bundle.version} is in effect`;
     const {entryId: id} = this.settings;
     this.events.record({
       type: 'bundle-in-force',
@@ -327,8 +330,8 @@
   }
 }
 
-/** The final answer of a request that outlasts its entry; one that was taken may have run. */
-function giveUp(response: ServerResponse, wasTaken: boolean): void {
+/** Ends a response that is still open when the entry stops; an accepted request may have run. */
+function abandonResponse(response: ServerResponse, wasAccepted: boolean): void {
   if (response.writableEnded) {
     return;
   }
@@ -337,5 +340,5 @@
     return;
   }
   response.shouldKeepAlive = false;
-  sendProblem(response, wasTaken ? GIVEN_UP : STOPPING);
+  sendProblem(response, wasAccepted ? ABANDONED : STOPPING);
 }
--- a/src/entry/entry_settings.ts
+++ b/src/entry/entry_settings.ts
@@ -1,14 +1,14 @@
 import {TransportSecurity} from '../transport/transport_security';
 
-/** Everything that an entry process is told when it starts. */
+/** Configuration of an entry process. */
 export interface EntrySettings {
   readonly entryId: string;
   readonly zone: string;
-  /** Where callers connect. */
+  /** Address to listen on for callers. */
   readonly host: string;
   readonly port: number;
   readonly control: readonly string[];
-  /** From the signal to stop to the end by force, in milliseconds. */
+  /** Milliseconds from the stop signal to the forced exit. */
   readonly stopWithinMs: number;
   readonly security?: TransportSecurity;
 }
--- a/src/entry/find_workspace.ts
+++ b/src/entry/find_workspace.ts
@@ -3,9 +3,9 @@
 import {computeDigest} from '../protocol/compute_digest';
 
 /**
- * Finds the workspace whose key a request carries.
+ * Finds the workspace that the bearer token of a request belongs to.
  *
- * @returns undefined for a missing or unknown key
+ * @returns undefined for a missing or unknown token
  * @example
  * const workspace = findWorkspace(request, bundle);
  */
@@ -17,7 +17,7 @@
   if (!token) {
     return undefined;
   }
-  // Keys are long random texts, so comparing their digests leaks nothing useful.
+  // Keys are long random strings: comparing their digests in variable time leaks nothing useful.
   const hash = computeDigest(token);
   return bundle.workspaces.find(known => known.keyHashes.includes(hash));
 }
--- a/src/entry/host_connection.ts
+++ b/src/entry/host_connection.ts
@@ -1,4 +1,4 @@
-/** The entry's connection to one first member, with the attempts on it. */
+/** The entry's connection to the first member of a group, and the attempts sent over it. */
 import {Clock} from '../common/clock';
 import {connectPeer} from '../protocol/connect_peer';
 import {Message} from '../protocol/message';
@@ -26,8 +26,8 @@
   [T in WorkMessage['type']]?: (message: MessageOf<WorkMessage, T>) => void;
 };
 
-/** What a link needs. */
-interface HostLinkOptions {
+/** What a connection needs. */
+interface HostConnectionOptions {
   readonly address: string;
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
@@ -35,7 +35,7 @@
   readonly onClosed: () => void;
 }
 
-/** Sends dispatches to one host process and sorts its frames by attempt. */
+/** Sends dispatches to one host process and demultiplexes its frames by attempt. */
 export class HostConnection {
   private readonly attempts = new Map<number, OpenAttempt>();
   private readonly tombstones = new Map<
@@ -43,14 +43,14 @@
     (answer: TombstoneAnswer | undefined) => void
   >();
   private lastStream = 0;
-  /** The host's clock as it last told it, and ours when that came. */
+  /** The host's clock as last reported, and the local clock when that report arrived. */
   private hostClock:
-    {readonly theirs: number; readonly ours: number} | undefined;
+    {readonly hostMs: number; readonly localMs: number} | undefined;
   private lastReportedCount = 0;
 
   private constructor(
     private readonly peer: Peer,
-    private readonly options: HostLinkOptions,
+    private readonly options: HostConnectionOptions,
   ) {
     void peer.messages
       .observe(message => this.receive(message))
@@ -61,11 +61,13 @@
   /**
    * Connects to a host process.
    *
-   * @throws TransportError when nobody answers there
+   * @throws TransportError when the connection cannot be established
    * @example
-   * const link = await HostLink.connect({address, identity, clock, onClosed});
+   * const connection = await HostLink.connect({address, identity, clock, onClosed});
    */
-  static async connect(options: HostLinkOptions): Promise<HostConnection> {
+  static async connect(
+    options: HostConnectionOptions,
+  ): Promise<HostConnection> {
     const peer = await connectPeer(
       options.address,
       options.identity,
@@ -78,26 +80,26 @@
     return this.peer.isOpen;
   }
 
-  /** Which life of the host process this link leads to. */
+  /** Incarnation of the host process at the other end. */
   get incarnation(): string {
     return this.peer.remote.incarnation;
   }
 
-  /** Attempts of this entry on the link. */
+  /** Attempts of this entry in flight on this connection. */
   get ownAttemptCount(): number {
     return this.attempts.size;
   }
 
-  /** Attempts of all entries as the host last reported. */
+  /** Attempts of all entries that run on the host, as it last reported. */
   get reportedAttemptCount(): number {
     return this.lastReportedCount;
   }
 
   /**
-   * Sends one attempt.
+   * Sends one attempt to the host.
    *
-   * @param startWithinMs how long the frame may travel before the host refuses it
-   * @returns a call that cancels it
+   * @param startWithinMs milliseconds after which the host must refuse to start it
+   * @returns a function that cancels the attempt
    */
   dispatch(
     fields: DispatchFields,
@@ -110,8 +112,9 @@
       queueMicrotask(() => events.onEnd({outcome: 'not-run', reason}));
       return () => undefined;
     }
-    const {theirs, ours} = this.hostClock;
-    const startBy = theirs + (this.options.clock.now() - ours) + startWithinMs;
+    const {hostMs, localMs} = this.hostClock;
+    const startBy =
+      hostMs + (this.options.clock.now() - localMs) + startWithinMs;
     this.attempts.set(stream, {events, nextSequence: 0});
     const incarnation = this.incarnation;
     this.peer.send({
@@ -125,7 +128,7 @@
     return () => this.peer.send({type: 'cancel', stream});
   }
 
-  /** Asks for the promise that an attempt never starts; undefined when no answer came. */
+  /** Asks the host never to start an attempt that it has not started; undefined when no answer arrived. */
   askTombstone(attemptId: string): Promise<TombstoneAnswer | undefined> {
     return new Promise(resolve => {
       const finish = (answer: TombstoneAnswer | undefined) => {
@@ -145,7 +148,7 @@
 
   private readonly handlers: Handlers = {
     clock: ({now, running}) => {
-      this.hostClock = {theirs: now, ours: this.options.clock.now()};
+      this.hostClock = {hostMs: now, localMs: this.options.clock.now()};
       this.lastReportedCount = running;
     },
     head: ({stream, status, headers}) => {
@@ -190,8 +193,8 @@
     const attempt = this.attempts.get(stream);
     const isShort = attempt !== undefined && attempt.nextSequence !== frames;
     if (isShort && outcome === 'answered') {
-      const lost = `${frames - attempt.nextSequence} frames are missing at the end`;
-      this.finish(stream, {outcome: 'failed', reason: lost});
+      const detail = `${frames - attempt.nextSequence} frames are missing at the end`;
+      this.finish(stream, {outcome: 'failed', reason: detail});
       return;
     }
     this.finish(stream, {outcome, reason});
--- a/src/entry/host_connections.ts
+++ b/src/entry/host_connections.ts
@@ -1,19 +1,19 @@
-/** Keeps a link to the first member of every group in the routing table. */
+/** Keeps the entry connected to the first member of every group in the routing table. */
 import {Clock} from '../common/clock';
 import {Peer} from '../protocol/peer';
 import {TransportSecurity} from '../transport/transport_security';
 import {HostConnection} from './host_connection';
 
-const RECONNECT_MS = 200;
+const RECONNECT_INTERVAL_MS = 200;
 
-/** What the links are opened with. */
-interface HostLinksOptions {
+/** What connections are opened with. */
+interface HostConnectionsOptions {
   readonly identity: Parameters<typeof Peer.create>[1];
   readonly clock: Clock;
   readonly security?: TransportSecurity;
 }
 
-/** Links by address. */
+/** Connections to host processes, by address. */
 export class HostConnections {
   private readonly connections = new Map<string, HostConnection>();
   private readonly connecting = new Map<
@@ -23,46 +23,49 @@
   private addresses: ReadonlySet<string> = new Set();
   private readonly timer: NodeJS.Timeout;
 
-  private constructor(private readonly options: HostLinksOptions) {
-    this.timer = setInterval(() => this.connectMissing(), RECONNECT_MS);
+  private constructor(private readonly options: HostConnectionsOptions) {
+    this.timer = setInterval(
+      () => this.connectMissing(),
+      RECONNECT_INTERVAL_MS,
+    );
   }
 
   /**
-   * Creates an empty set of links that reconnects by itself.
+   * Creates an empty pool that reconnects on its own.
    *
    * @example
-   * const links = HostLinks.create({identity, clock});
-   * links.setWanted(['127.0.0.1:7100']);
+   * const connections = HostLinks.create({identity, clock});
+   * connections.setWanted(['127.0.0.1:7100']);
    */
-  static create(options: HostLinksOptions): HostConnections {
+  static create(options: HostConnectionsOptions): HostConnections {
     return new HostConnections(options);
   }
 
-  /** Sets the addresses to stay connected to. Links with work on them stay open. */
+  /** Sets the addresses to stay connected to. A connection with attempts in flight stays open. */
   setAddresses(addresses: readonly string[]): void {
     this.addresses = new Set(addresses);
-    for (const [address, link] of this.connections) {
-      if (!this.addresses.has(address) && link.ownAttemptCount === 0) {
-        link.close();
+    for (const [address, connection] of this.connections) {
+      if (!this.addresses.has(address) && connection.ownAttemptCount === 0) {
+        connection.close();
       }
     }
     this.connectMissing();
   }
 
-  /** An open link, if there is one. */
+  /** Finds an open connection. */
   find(address: string): HostConnection | undefined {
-    const link = this.connections.get(address);
-    return link?.isOpen ? link : undefined;
+    const connection = this.connections.get(address);
+    return connection?.isOpen ? connection : undefined;
   }
 
-  /** An open link, connecting if need be; undefined when nobody answers. */
+  /** Finds an open connection or opens one; undefined when that fails. */
   async findOrConnect(address: string): Promise<HostConnection | undefined> {
     return this.find(address) ?? this.connect(address);
   }
 
   close(): void {
     clearInterval(this.timer);
-    this.connections.forEach(link => link.close());
+    this.connections.forEach(connection => connection.close());
   }
 
   private connectMissing(): void {
@@ -83,9 +86,9 @@
       address,
       onClosed: () => this.connections.delete(address),
     })
-      .then(link => {
-        this.connections.set(address, link);
-        return link;
+      .then(connection => {
+        this.connections.set(address, connection);
+        return connection;
       })
       .catch(() => undefined)
       .finally(() => this.connecting.delete(address));
--- a/src/entry/idempotency_claims.ts
+++ b/src/entry/idempotency_claims.ts
@@ -1,4 +1,4 @@
-/** Claims requests that run at most once, and finds out what became of earlier claims. */
+/** Claims requests that must run at most once, and resolves earlier claims on the same key. */
 import {ClaimVerdict} from '../protocol/claim_verdict';
 import {ControlClient} from '../protocol/control_client';
 import {computeDigest} from '../protocol/compute_digest';
@@ -10,10 +10,10 @@
 
 const CLAIM_TIMEOUT_MS = 3_000;
 const RESOLVE_TIMEOUT_MS = 10_000;
-const RETRY_IN_PROGRESS_MS = 1_000;
+const RETRY_AFTER_MS = 1_000;
 
-/** Whom to ask. */
-interface OnceOnlyOptions {
+/** Where claims are sent and resolved. */
+interface IdempotencyClaimsOptions {
   readonly client: ControlClient;
   readonly connections: HostConnections;
 }
@@ -22,28 +22,28 @@
 interface ClaimTarget {
   readonly attemptId: string;
   readonly group: Group;
-  /** Incarnation of the first member's process. */
+  /** Incarnation of the first member's host process. */
   readonly incarnation: string;
 }
 
-/** Grants at most one run for each workspace and key. */
+/** Lets a request with a given idempotency key run at most once per workspace. */
 export class IdempotencyClaims {
-  private constructor(private readonly options: OnceOnlyOptions) {}
+  private constructor(private readonly options: IdempotencyClaimsOptions) {}
 
   /**
-   * Creates a claimer.
+   * Creates a client that claims requests through control.
    *
    * @example
-   * const onceOnly = OnceOnly.create({client, links});
+   * const claims = IdempotencyClaims.create({client, connections});
    */
-  static create(options: OnceOnlyOptions): IdempotencyClaims {
+  static create(options: IdempotencyClaimsOptions): IdempotencyClaims {
     return new IdempotencyClaims(options);
   }
 
   /**
-   * Claims the right to run once.
+   * Claims a request for one attempt.
    *
-   * @returns undefined when granted, else the problem to answer with
+   * @returns undefined when granted, else the problem to respond with
    */
   async claim(
     request: CallerRequest,
@@ -54,14 +54,14 @@
       first?.status === 'in-progress'
         ? await this.resolveExistingClaim(request, first)
         : first;
-    if (verdict === 'settled') {
+    if (verdict === 'claimable') {
       const second = await this.sendClaim(request, target);
       return describeVerdict(second);
     }
     return describeVerdict(verdict);
   }
 
-  /** Records what became of a claimed attempt. */
+  /** Reports the outcome of a claimed attempt to control. */
   async resolve(
     request: CallerRequest,
     attemptId: string,
@@ -100,29 +100,29 @@
       .catch(() => undefined);
   }
 
-  /** Asks the host process that an unfinished claim names what became of it. */
+  /** Asks the host process named in an unresolved claim for the outcome of its attempt. */
   private async resolveExistingClaim(
     request: CallerRequest,
     claim: ClaimVerdict & {status: 'in-progress'},
-  ): Promise<ClaimVerdict | 'settled'> {
+  ): Promise<ClaimVerdict | 'claimable'> {
     const {attemptId, address, incarnation} = claim;
-    const link = await this.options.connections.findOrConnect(address);
-    if (!link) {
+    const connection = await this.options.connections.findOrConnect(address);
+    if (!connection) {
       return claim;
     }
-    if (link.incarnation !== incarnation) {
+    if (connection.incarnation !== incarnation) {
       await this.resolve(request, attemptId, 'unknown');
       return {status: 'ended', attemptId, outcome: 'unknown'};
     }
-    const answer = await link.askTombstone(attemptId);
+    const answer = await connection.askTombstone(attemptId);
     if (answer?.verdict === 'never-started') {
       await this.resolve(request, attemptId, 'not-run');
-      return 'settled';
+      return 'claimable';
     }
     if (answer?.verdict === 'ended' && answer.outcome) {
       await this.resolve(request, attemptId, answer.outcome);
       return answer.outcome === 'not-run'
-        ? 'settled'
+        ? 'claimable'
         : {status: 'ended', attemptId, outcome: answer.outcome};
     }
     return claim;
@@ -138,13 +138,13 @@
       title: 'No claim',
       detail: 'control did not confirm that this request runs only once',
       outcome: 'not-run',
-      retryAfterMs: RETRY_IN_PROGRESS_MS,
+      retryAfterMs: RETRY_AFTER_MS,
     };
   }
-  return DESCRIPTIONS[verdict.status](verdict as never);
+  return PROBLEM_BY_STATUS[verdict.status](verdict as never);
 }
 
-const DESCRIPTIONS: {
+const PROBLEM_BY_STATUS: {
   [S in ClaimVerdict['status']]: (
     verdict: ClaimVerdict & {status: S},
   ) => Problem | undefined;
@@ -155,7 +155,7 @@
     title: 'In progress',
     detail: `the request with this key runs as ${attemptId}; it is not run again`,
     outcome: 'unknown',
-    retryAfterMs: RETRY_IN_PROGRESS_MS,
+    retryAfterMs: RETRY_AFTER_MS,
   }),
   ended: ({attemptId, outcome}) => ({
     status: 409,
--- a/src/entry/parse_caller_request.ts
+++ b/src/entry/parse_caller_request.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's headers and body against the bundle in force. */
+/** Validates a caller's request against the current bundle. */
 import {IncomingMessage} from 'node:http';
 import {Bundle} from '../protocol/bundle';
 import {CallerRequest} from './caller_request';
@@ -6,10 +6,11 @@
 
 const DEFAULT_DEADLINE_MS = 120_000;
 const MAX_DEADLINE_MS = 3_600_000;
-const MAX_KEY_LENGTH = 200;
+const MAX_KEY_CHARACTERS = 200;
 const COMPLETIONS_PATH = '/v1/chat/completions';
 const SERVICES_PREFIX = '/services/';
-const HOP_HEADERS = new Set([
+/** Headers for the entry or the caller's connection only. */
+const NOT_FORWARDED_HEADERS = new Set([
   'authorization',
   'connection',
   'content-length',
@@ -24,24 +25,24 @@
   'upgrade',
 ]);
 
-/** What is read from. */
+/** A caller's request and what it is validated against. */
 interface ParseInput {
   readonly request: IncomingMessage;
   readonly body: Buffer;
   readonly bundle: Bundle;
-  /** Whose key the request carries. */
+  /** Workspace that the request's key belongs to. */
   readonly workspace: Bundle['workspaces'][number];
   readonly requestId: string;
-  /** This process's monotonic clock. */
+  /** Milliseconds on this process's monotonic clock. */
   readonly now: number;
 }
 
 type Target = Pick<CallerRequest, 'kind' | 'name' | 'path'>;
 
 /**
- * Checks what is asked for.
+ * Validates a request and resolves the model or service it calls.
  *
- * @returns the request, or the problem to answer with; nothing has run then
+ * @returns the request, or the problem to respond with
  * @example
  * const parsed = parseCallerRequest({request, body, bundle, workspace, requestId, now});
  */
@@ -56,7 +57,7 @@
     header('whinreel-deadline-ms') ?? DEFAULT_DEADLINE_MS,
   );
   if (!(deadlineMs > 0 && deadlineMs <= MAX_DEADLINE_MS)) {
-    return refuse(
+    return createProblem(
       400,
       'Wrong deadline',
       'Whinreel-Deadline-Ms takes 1 to 3600000 milliseconds',
@@ -64,21 +65,24 @@
   }
   const priority = Number(header('whinreel-priority') ?? workspace.priority);
   if (!(Number.isInteger(priority) && priority >= 0 && priority <= 9)) {
-    return refuse(
+    return createProblem(
       400,
       'Wrong priority',
       'Whinreel-Priority takes a whole number from 0 to 9',
     );
   }
   const key = header('idempotency-key');
-  if (key !== undefined && (key.length === 0 || key.length > MAX_KEY_LENGTH)) {
-    return refuse(
+  if (
+    key !== undefined &&
+    (key.length === 0 || key.length > MAX_KEY_CHARACTERS)
+  ) {
+    return createProblem(
       400,
       'Wrong key',
       'Idempotency-Key takes 1 to 200 characters',
     );
   }
-  const isMarked = header('whinreel-not-repeatable') === 'true';
+  const isMarkedOnce = header('whinreel-not-repeatable') === 'true';
   return {
     requestId,
     workspace: workspace.name,
@@ -87,7 +91,8 @@
     method: request.method ?? 'GET',
     headers: copyHeaders(request),
     body,
-    isRepeatable: !isMarked && !isNotRepeatableRoute(request, target, bundle),
+    isRepeatable:
+      !isMarkedOnce && !isNotRepeatableRoute(request, target, bundle),
     idempotencyKey: key ?? requestId,
     deadline: now + deadlineMs,
   };
@@ -105,7 +110,7 @@
   if (url.startsWith(SERVICES_PREFIX)) {
     return findService(url, bundle);
   }
-  return refuse(
+  return createProblem(
     404,
     'Unknown path',
     `try POST ${COMPLETIONS_PATH} or ${SERVICES_PREFIX}NAME/PATH`,
@@ -117,29 +122,33 @@
   try {
     name = (JSON.parse(body.toString()) as {model?: unknown} | null)?.model;
   } catch {
-    return refuse(400, 'Wrong body', 'the body is not JSON');
+    return createProblem(400, 'Wrong body', 'the body is not JSON');
   }
   const model = bundle.models.find(known => known.name === name);
   if (!model) {
     const names = bundle.models.map(known => known.name).join(', ');
-    return refuse(404, 'Unknown model', `"model" must be one of: ${names}`);
+    return createProblem(
+      404,
+      'Unknown model',
+      `"model" must be one of: ${names}`,
+    );
   }
   return {kind: 'model', name: model.name, path: COMPLETIONS_PATH};
 }
 
 function findService(url: string, bundle: Bundle): Target | Problem {
   const rest = url.slice(SERVICES_PREFIX.length);
-  const end = rest.search(/[/?]|$/);
-  const name = rest.slice(0, end);
+  const nameEnd = rest.search(/[/?]|$/);
+  const name = rest.slice(0, nameEnd);
   if (!bundle.services.some(known => known.name === name)) {
     const names = bundle.services.map(known => known.name).join(', ');
-    return refuse(
+    return createProblem(
       404,
       'Unknown service',
       `the service must be one of: ${names}`,
     );
   }
-  const path = rest.slice(end);
+  const path = rest.slice(nameEnd);
   return {
     kind: 'service',
     name,
@@ -168,7 +177,7 @@
   for (const [name, value] of Object.entries(request.headers)) {
     if (
       value !== undefined &&
-      !HOP_HEADERS.has(name) &&
+      !NOT_FORWARDED_HEADERS.has(name) &&
       !name.startsWith('whinreel-')
     ) {
       headers[name] = value.toString();
@@ -177,6 +186,6 @@
   return headers;
 }
 
-function refuse(status: number, title: string, detail: string): Problem {
+function createProblem(status: number, title: string, detail: string): Problem {
   return {status, title, detail, outcome: 'not-run'};
 }
--- a/src/entry/problem.ts
+++ b/src/entry/problem.ts
@@ -1,11 +1,11 @@
 import {Outcome} from '../protocol/outcome';
 
-/** Why a request got no answer of its own; becomes `application/problem+json` (RFC 9457). */
+/** An error response to a caller, sent as `application/problem+json` (RFC 9457). */
 export interface Problem {
   readonly status: number;
   readonly title: string;
   readonly detail: string;
   readonly outcome: Outcome;
-  /** Milliseconds after which asking again makes sense. */
+  /** Milliseconds after which the caller may retry. */
   readonly retryAfterMs?: number;
 }
--- a/src/entry/request_runner.ts
+++ b/src/entry/request_runner.ts
@@ -1,4 +1,4 @@
-/** Carries one request through its attempts to one final outcome. */
+/** Runs a request in one or more attempts until it has a final outcome. */
 import {Clock} from '../common/clock';
 import {chooseReplica} from '../coordination/requests/choose_replica';
 import {decideRetry} from '../coordination/requests/decide_retry';
@@ -14,13 +14,13 @@
 import {Problem} from './problem';
 import {RoutingTable} from './routing_table';
 
-/** How long a dispatch may travel before the host process refuses it. */
+/** Milliseconds within which a host must start a dispatch; it refuses later ones. */
 const START_WITHIN_MS = 2_000;
 const NO_REPLICA_RETRY_MS = 1_000;
-/** Asks a backend server to leave out this many events of its answer. */
+/** Asks a backend server to skip this many events of its response. */
 const RESUME_HEADER = 'whinreel-resume-after';
 
-/** What requests run with. */
+/** What the runner needs. */
 interface RequestRunnerOptions {
   readonly clock: Clock;
   readonly table: RoutingTable;
@@ -39,13 +39,13 @@
 }
 
 /** How a request ended. */
-interface RequestEnd {
+interface RequestResult {
   readonly outcome: Outcome;
   readonly reason: string;
   readonly attempts: number;
 }
 
-/** Runs requests against the replicas that the table names. */
+/** Runs requests on the replicas in the routing table. */
 export class RequestRunner {
   private readonly retryBudgets = new Map<string, RetryBudget>();
 
@@ -55,7 +55,7 @@
    * Creates a runner.
    *
    * @example
-   * const runner = RequestRunner.create({clock, table, links, onceOnly, random});
+   * const runner = RequestRunner.create({clock, table, connections, claims, random});
    */
   static create(options: RequestRunnerOptions): RequestRunner {
     return new RequestRunner(options);
@@ -65,17 +65,17 @@
   async run(
     request: CallerRequest,
     response: CallerResponse,
-  ): Promise<RequestEnd> {
+  ): Promise<RequestResult> {
     const {clock} = this.options;
     const tried = new Set<string>();
-    let worst: AttemptEnd = {
+    let worstEnd: AttemptEnd = {
       outcome: 'not-run',
       reason: 'no replica serves it now',
     };
     for (let attempt = 1; ; attempt += 1) {
       const candidate = this.chooseCandidate(request, tried);
       if (!candidate) {
-        return this.failRequest(response, worst, attempt - 1);
+        return this.failRequest(response, worstEnd, attempt - 1);
       }
       tried.add(candidate.groupId);
       const attemptId = `${request.requestId}.${attempt}`;
@@ -97,7 +97,7 @@
         this.getRetryBudget(request).recordSuccess();
         return {outcome: 'answered', reason: '', attempts: attempt};
       }
-      worst = takeWorse(worst, end);
+      worstEnd = chooseWorse(worstEnd, end);
       const isRetried = decideRetry({
         outcome: end.outcome,
         isRepeatable: request.isRepeatable,
@@ -109,53 +109,53 @@
         takeRetry: () => this.getRetryBudget(request).takeRetry(),
       });
       if (!isRetried) {
-        return this.failRequest(response, worst, attempt);
+        return this.failRequest(response, worstEnd, attempt);
       }
     }
   }
 
-  /** One attempt, with its claim if it must run at most once. */
+  /** Runs one attempt, claiming it first if the request must run at most once. */
   private async runAttempt(
     request: CallerRequest,
     response: CallerResponse,
     candidate: Candidate,
     attemptId: string,
   ): Promise<AttemptEnd | Problem> {
-    const {claims: onceOnly} = this.options;
+    const {claims} = this.options;
     if (request.isRepeatable) {
       const end = await this.dispatch(request, response, candidate, attemptId);
       return this.resolveOutcome(request, response, candidate, attemptId, end);
     }
-    const {group, connection: link} = candidate;
-    const problem = await onceOnly.claim(request, {
+    const {group, connection} = candidate;
+    const problem = await claims.claim(request, {
       attemptId,
       group,
-      incarnation: link.incarnation,
+      incarnation: connection.incarnation,
     });
     if (problem) {
       return problem;
     }
     const end = await this.dispatch(request, response, candidate, attemptId);
-    const settled = await this.resolveOutcome(
+    const resolved = await this.resolveOutcome(
       request,
       response,
       candidate,
       attemptId,
       end,
     );
-    if (settled.outcome === 'unknown') {
-      // The host process may still learn the truth; whoever asks later hears it.
-      return settled;
+    if (resolved.outcome === 'unknown') {
+      // The host process may still learn the outcome and tell a later request with the same key.
+      return resolved;
     }
-    const resolving = onceOnly.resolve(request, attemptId, settled.outcome);
-    if (settled.outcome === 'not-run') {
-      // The next attempt claims again, which only the recorded outcome allows.
+    const resolving = claims.resolve(request, attemptId, resolved.outcome);
+    if (resolved.outcome === 'not-run') {
+      // The next attempt claims again, which control grants only once this outcome is recorded.
       await resolving;
     }
-    return settled;
+    return resolved;
   }
 
-  /** After a lost connection the host process may still know what became of the attempt. */
+  /** After a lost connection, asks the host process for the outcome of the attempt. */
   private async resolveOutcome(
     request: CallerRequest,
     response: CallerResponse,
@@ -163,18 +163,21 @@
     attemptId: string,
     end: AttemptEnd,
   ): Promise<AttemptEnd> {
-    const isWorthAsking =
+    const shouldAskHost =
       end.isConnectionLost && !response.hasDelivered && !request.isRepeatable;
-    if (!isWorthAsking) {
+    if (!shouldAskHost) {
       return end;
     }
-    const link = await this.options.connections.findOrConnect(
+    const connection = await this.options.connections.findOrConnect(
       candidate.group.members[0].address,
     );
-    if (!link || link.incarnation !== candidate.connection.incarnation) {
+    if (
+      !connection ||
+      connection.incarnation !== candidate.connection.incarnation
+    ) {
       return end;
     }
-    const answer = await link.askTombstone(attemptId);
+    const answer = await connection.askTombstone(attemptId);
     if (answer?.verdict === 'never-started') {
       return {outcome: 'not-run', reason: 'the host process never started it'};
     }
@@ -190,32 +193,32 @@
   private dispatch(
     request: CallerRequest,
     response: CallerResponse,
-    {group, connection: link}: Candidate,
+    {group, connection}: Candidate,
     attemptId: string,
   ): Promise<AttemptEnd> {
     const msLeft = Math.max(0, request.deadline - this.options.clock.now());
     return new Promise(resolve => {
-      let hasHead = false;
-      // Frames of an attempt that was given up may still come; they are nobody's.
-      let isOver = false;
+      let hasStarted = false;
+      // Frames of an abandoned attempt may still arrive and are ignored.
+      let isSettled = false;
       const finish = (end: AttemptEnd) => {
-        isOver = true;
+        isSettled = true;
         clearTimeout(timer);
         resolve(end);
       };
-      const giveUp = (reason: string) => {
-        if (!isOver) {
-          // What must run once is not broken off half-way: it may have its effect already.
+      const abandon = (reason: string) => {
+        if (!isSettled) {
+          // An attempt that must run at most once is not cancelled: it may already have had its effect.
           const isCancelled = request.isRepeatable;
-          const outcome = isCancelled && hasHead ? 'failed' : 'unknown';
+          const outcome = isCancelled && hasStarted ? 'failed' : 'unknown';
           finish({outcome, reason});
           if (isCancelled) {
             cancel();
           }
         }
       };
-      const timer = setTimeout(() => giveUp('the deadline passed'), msLeft);
-      const cancel = link.dispatch(
+      const timer = setTimeout(() => abandon('the deadline passed'), msLeft);
+      const cancel = connection.dispatch(
         {
           attemptId,
           groupId: group.id,
@@ -230,25 +233,25 @@
         Math.min(START_WITHIN_MS, msLeft),
         {
           onHead: (status, headers) => {
-            hasHead = true;
-            if (isOver) {
+            hasStarted = true;
+            if (isSettled) {
               return;
             }
             if (!response.hasDelivered) {
               response.start(status, headers);
             } else if (!response.isContinuedBy(status, headers)) {
-              giveUp('the answer broke off and could not be resumed');
+              abandon('the answer broke off and could not be resumed');
             }
           },
-          onData: (bytes, giveBack) => {
-            if (isOver) {
-              giveBack();
+          onData: (bytes, returnCredit) => {
+            if (isSettled) {
+              returnCredit();
             } else {
-              response.write(bytes, giveBack);
+              response.write(bytes, returnCredit);
             }
           },
           onEnd: end => {
-            if (isOver) {
+            if (isSettled) {
               return;
             }
             if (end.outcome === 'answered') {
@@ -259,7 +262,7 @@
         },
       );
       if (request.isRepeatable) {
-        response.watchDisconnect(() => giveUp('the caller went away'));
+        response.watchDisconnect(() => abandon('the caller went away'));
       }
     });
   }
@@ -268,7 +271,7 @@
     request: CallerRequest,
     tried: ReadonlySet<string>,
   ): Candidate | undefined {
-    const {table, connections: links, random} = this.options;
+    const {table, connections, random} = this.options;
     const candidates: Candidate[] = [];
     for (const group of table.groups) {
       const isMatch =
@@ -276,13 +279,13 @@
       if (!isMatch || group.isDraining || tried.has(group.id)) {
         continue;
       }
-      const link = links.find(group.members[0].address);
-      if (link) {
+      const connection = connections.find(group.members[0].address);
+      if (connection) {
         const running = Math.max(
-          link.ownAttemptCount,
-          link.reportedAttemptCount,
+          connection.ownAttemptCount,
+          connection.reportedAttemptCount,
         );
-        candidates.push({groupId: group.id, group, connection: link, running});
+        candidates.push({groupId: group.id, group, connection, running});
       }
     }
     return chooseReplica(candidates, random);
@@ -302,7 +305,7 @@
     response: CallerResponse,
     end: AttemptEnd,
     attempts: number,
-  ): RequestEnd {
+  ): RequestResult {
     response.fail(describeEnd(end));
     return {outcome: end.outcome, reason: end.reason, attempts};
   }
@@ -320,12 +323,13 @@
     : request.headers;
 }
 
-/** One earlier attempt that may have run outweighs later ones that surely did not. */
-function takeWorse(worst: AttemptEnd, end: AttemptEnd): AttemptEnd {
-  const ORDER: readonly Outcome[] = ['not-run', 'failed', 'unknown'];
-  return ORDER.indexOf(end.outcome) >= ORDER.indexOf(worst.outcome)
+/** An attempt that may have run outweighs those that certainly did not. */
+function chooseWorse(worstEnd: AttemptEnd, end: AttemptEnd): AttemptEnd {
+  const SEVERITY_ORDER: readonly Outcome[] = ['not-run', 'failed', 'unknown'];
+  return SEVERITY_ORDER.indexOf(end.outcome) >=
+    SEVERITY_ORDER.indexOf(worstEnd.outcome)
     ? end
-    : worst;
+    : worstEnd;
 }
 
 const STATUS_BY_OUTCOME: Record<Outcome, number> = {
--- a/src/entry/routing_table.ts
+++ b/src/entry/routing_table.ts
@@ -1,4 +1,4 @@
-/** The entry's copy of what control decided: bundle, groups, lease. */
+/** The entry's copy of the bundle and the groups that control decided, with its lease. */
 import {Clock} from '../common/clock';
 import {BundleLease} from '../coordination/requests/bundle_lease';
 import {Bundle} from '../protocol/bundle';
@@ -7,13 +7,13 @@
 import {Group} from '../protocol/group';
 import {MessageOf} from '../protocol/message_of';
 
-/** Control holds a question that has no news, so this pause only bounds the rate of changes. */
-const REFRESH_EVERY_MS = 20;
+/** Control holds a poll until something changes, so this delay only limits the rate of updates. */
+const REFRESH_DELAY_MS = 20;
 
 type Directive = MessageOf<ControlMessage, 'entry-directive'>;
 
-/** What the table is kept up to date with. */
-interface RouteTableOptions {
+/** What the table needs. */
+interface RoutingTableOptions {
   readonly entryId: string;
   readonly client: ControlClient;
   readonly clock: Clock;
@@ -21,7 +21,7 @@
   readonly onBundle: (bundle: Bundle) => void;
 }
 
-/** Asks control again and again; old while control does not answer. */
+/** Polls control for changes; out of date while control does not answer. */
 export class RoutingTable {
   private currentBundle: Bundle | undefined;
   private currentGroups: readonly Group[] = [];
@@ -31,21 +31,21 @@
   private isClosed = false;
   private endDelay: () => void = () => undefined;
 
-  private constructor(private readonly options: RouteTableOptions) {
+  private constructor(private readonly options: RoutingTableOptions) {
     void this.run();
   }
 
   /**
-   * Starts asking.
+   * Starts polling control.
    *
    * @example
    * const table = RouteTable.create({entryId, client, clock, onGroups, onBundle});
    */
-  static create(options: RouteTableOptions): RoutingTable {
+  static create(options: RoutingTableOptions): RoutingTable {
     return new RoutingTable(options);
   }
 
-  /** The newest bundle that control named. */
+  /** The latest bundle received from control. */
   get bundle(): Bundle | undefined {
     return this.currentBundle;
   }
@@ -54,12 +54,12 @@
     return this.currentGroups;
   }
 
-  /** Entries that share the limits of the bundle. */
+  /** Number of entries that share the limits of the bundle. */
   get entryCount(): number {
     return this.sharingEntries;
   }
 
-  /** True while control confirmed the bundle lately enough to take new work. */
+  /** Whether control confirmed the bundle recently enough to accept new requests. */
   hasLease(now: number): boolean {
     return this.lease.isHeld(now);
   }
@@ -75,14 +75,14 @@
       await this.refresh().catch(() => undefined);
       await new Promise<void>(resolve => {
         this.endDelay = resolve;
-        setTimeout(resolve, REFRESH_EVERY_MS);
+        setTimeout(resolve, REFRESH_DELAY_MS);
       });
     }
   }
 
   private async refresh(): Promise<void> {
     const {client, clock, entryId} = this.options;
-    const askedAt = clock.now();
+    const sentAt = clock.now();
     const directive = await client.ask({
       type: 'entry-report',
       entryId,
@@ -90,12 +90,12 @@
       tableVersion: this.tableVersion,
     });
     if (!this.isClosed) {
-      this.applyDirective(directive, askedAt);
+      this.applyDirective(directive, sentAt);
     }
   }
 
-  private applyDirective(directive: Directive, askedAt: number): void {
-    this.lease.renew(askedAt, directive.leaseMs);
+  private applyDirective(directive: Directive, sentAt: number): void {
+    this.lease.renew(sentAt, directive.leaseMs);
     this.sharingEntries = directive.entries;
     if (directive.bundle) {
       const bundle = Bundle.parse(JSON.parse(directive.bundle.document));
--- a/src/entry/send_problem.ts
+++ b/src/entry/send_problem.ts
@@ -4,7 +4,7 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Answers with a problem document. The headers must not have been sent.
+ * Sends a problem document as the response. Its headers must not have been sent yet.
  *
  * @example
  * sendProblem(response, {status: 404, title: 'No such model', detail, outcome: 'not-run'});
