--- a/src/host/attempt_runner.ts
+++ b/src/host/attempt_runner.ts
@@ -1,4 +1,4 @@
-/** Takes dispatches from entries, runs them, answers for their fate. */
+/** Takes dispatches from entries, runs them, answers for their state. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {DispatchLedger} from '../coordination/requests/dispatch_ledger';
@@ -9,28 +9,28 @@
 import {HttpBackend} from '../transport/http_backend';
 import {RunningAttempt} from './running_attempt';
 
-const REPORT_CLOCK_MS = 1_000;
-const REFUSAL_RETRY_MS = 250;
+const CLOCK_REPORT_INTERVAL_MS = 1_000;
+const REFUSAL_RETRY_AFTER_MS = 250;
 
 type Dispatch = MessageOf<WorkMessage, 'dispatch'>;
 
 /** What the runner needs from its host process. */
-interface WorkRunnerOptions {
+interface AttemptRunnerOptions {
   readonly incarnation: string;
   readonly clock: Clock;
   readonly events: EventRing;
   readonly backend: HttpBackend;
   readonly findBackendUrl: () => string | undefined;
-  /** Why a dispatch must not start now, if so. */
+  /** Returns why a dispatch must not start now, or undefined if it may. */
   readonly findRefusalReason: (
     dispatch: Dispatch,
     now: number,
   ) => string | undefined;
-  /** Why work for this group and epoch must stop, if so. */
+  /** Returns why an attempt for this group and epoch must stop, or undefined if it may continue. */
   readonly findStopReason: (dispatch: Dispatch) => string | undefined;
 }
 
-/** One entry's connection with the attempts that came over it. */
+/** The connection of one entry, and the attempts it dispatched. */
 interface EntryConnection {
   readonly peer: Peer;
   readonly attempts: Map<number, RunningAttempt>;
@@ -43,15 +43,18 @@
   ) => void;
 };
 
-/** Runs work on the backend server for every connected entry. */
+/** Runs attempts on the backend server for every connected entry. */
 export class AttemptRunner {
   private readonly tracker = DispatchLedger.create();
   private readonly running = new Map<RunningAttempt, Dispatch>();
   private readonly connections = new Set<EntryConnection>();
   private readonly timer: NodeJS.Timeout;
 
-  private constructor(private readonly options: WorkRunnerOptions) {
-    this.timer = setInterval(() => this.reportClocks(), REPORT_CLOCK_MS);
+  private constructor(private readonly options: AttemptRunnerOptions) {
+    this.timer = setInterval(
+      () => this.reportClocks(),
+      CLOCK_REPORT_INTERVAL_MS,
+    );
   }
 
   /**
@@ -61,11 +64,11 @@
    * const runner = WorkRunner.create(options);
    * runner.accept(peer);
    */
-  static create(options: WorkRunnerOptions): AttemptRunner {
+  static create(options: AttemptRunnerOptions): AttemptRunner {
     return new AttemptRunner(options);
   }
 
-  /** Attempts that run now. */
+  /** Number of running attempts. */
   get runningCount(): number {
     return this.running.size;
   }
@@ -86,7 +89,7 @@
     });
   }
 
-  /** Stops everything that lost its right to run. */
+  /** Stops every attempt that is no longer allowed to run. */
   stopUnauthorized(): void {
     for (const [attempt, dispatch] of this.running) {
       const reason = this.options.findStopReason(dispatch);
@@ -96,7 +99,7 @@
     }
   }
 
-  /** Stops everything that runs; what was begun may have run in part. */
+  /** Stops every attempt as failed, since it may have run in part. */
   stopAll(reason: string): void {
     for (const attempt of [...this.running.keys()]) {
       attempt.stop({outcome: 'failed', reason});
@@ -129,7 +132,7 @@
 
   private dispatch(connection: EntryConnection, dispatch: Dispatch): void {
     const {clock, findRefusalReason: refuse, findBackendUrl} = this.options;
-    // Read after the frame: after a pause the frame may be old, the clock is not.
+    // Read after the frame has arrived: after a suspension the frame may be old, but the clock is current.
     const now = clock.now();
     const {attemptId, stream} = dispatch;
     const known = this.tracker.find(attemptId);
@@ -149,14 +152,14 @@
       ? 'the attempt was given up before it came'
       : refuse(dispatch, now);
     if (refusal || !url) {
-      // Once refused it must never start, however often its frame comes.
+      // A refused attempt must never start, even if its dispatch arrives again.
       this.tracker.recordTombstone(attemptId, now);
       const reason = refusal ?? 'no backend server is announced';
       connection.peer.send({
         type: 'refused',
         stream,
         reason,
-        retryAfterMs: REFUSAL_RETRY_MS,
+        retryAfterMs: REFUSAL_RETRY_AFTER_MS,
       });
       return;
     }
@@ -196,7 +199,7 @@
     });
   }
 
-  /** What must run once goes on without its caller, so that its outcome is known. */
+  /** Lets an attempt that must run at most once continue without its entry, so that its outcome becomes known. */
   private handleEntryDisconnect(attempt: RunningAttempt): void {
     if (this.running.get(attempt)?.isRepeatable === false) {
       attempt.addCredit(Infinity);
@@ -206,12 +209,12 @@
   }
 
   private answerTombstone(peer: Peer, attemptId: string): void {
-    const fate = this.tracker.recordTombstone(
+    const state = this.tracker.recordTombstone(
       attemptId,
       this.options.clock.now(),
     );
-    const verdict = fate.status;
-    const outcome = fate.status === 'ended' ? fate.outcome : undefined;
+    const verdict = state.status;
+    const outcome = state.status === 'ended' ? state.outcome : undefined;
     peer.send({type: 'tombstone-answer', attemptId, verdict, outcome});
   }
 
--- a/src/host/control_session.ts
+++ b/src/host/control_session.ts
@@ -1,4 +1,4 @@
-/** Reports to control a few times a second and takes its directives. */
+/** Reports to control several times a second and passes on its directives. */
 import {Clock} from '../common/clock';
 import {BundleLease} from '../coordination/requests/bundle_lease';
 import {ControlClient} from '../protocol/control_client';
@@ -6,20 +6,20 @@
 import {HostReport} from '../protocol/host_report';
 import {MessageOf} from '../protocol/message_of';
 
-const REPORT_EVERY_MS = 300;
+const REPORT_INTERVAL_MS = 300;
 
-/** What the session works with. */
+/** What the session needs. */
 interface ControlSessionOptions {
   readonly client: ControlClient;
   readonly clock: Clock;
-  /** Undefined while the process must not offer itself yet. */
+  /** Undefined while the process must not report itself as available yet. */
   readonly createReport: () => HostReport | undefined;
   readonly onDirective: (
     directive: MessageOf<ControlMessage, 'host-directive'>,
   ) => void;
 }
 
-/** Keeps the lease that control's answers carry. */
+/** Keeps the lease that the directives of control renew. */
 export class ControlSession {
   private readonly lease = BundleLease.create();
   private isClosed = false;
@@ -39,12 +39,12 @@
     return new ControlSession(options);
   }
 
-  /** True while control confirmed the bundle lately enough to take new work. */
+  /** Whether control confirmed the bundle recently enough to start new attempts. */
   hasLease(now: number): boolean {
     return this.lease.isHeld(now);
   }
 
-  /** Reports at once instead of at the next time. */
+  /** Reports immediately instead of after the current delay. */
   reportNow(): void {
     this.endDelay();
   }
@@ -59,7 +59,7 @@
     while (!this.isClosed) {
       await this.reportOnce();
       await new Promise<void>(resolve => {
-        const timer = setTimeout(resolve, REPORT_EVERY_MS);
+        const timer = setTimeout(resolve, REPORT_INTERVAL_MS);
         this.endDelay = () => {
           clearTimeout(timer);
           resolve();
@@ -74,15 +74,15 @@
     if (!report) {
       return;
     }
-    const askedAt = clock.now();
+    const sentAt = clock.now();
     try {
       const directive = await client.ask({type: 'host-report', report});
       if (!this.isClosed) {
-        this.lease.renew(askedAt, directive.leaseMs);
+        this.lease.renew(sentAt, directive.leaseMs);
         onDirective(directive);
       }
     } catch {
-      // No leader answered; the lease runs out on its own.
+      // No leader answered; without a renewal the lease expires.
     }
   }
 }
--- a/src/host/engine_controller.ts
+++ b/src/host/engine_controller.ts
@@ -1,22 +1,22 @@
-/** Orders to the engine beside this host: which group and epoch it works for. */
+/** Tells the engine next to this host which group and epoch it works for. */
 import {Group} from '../protocol/group';
 import {HttpBackend} from '../transport/http_backend';
 
 const ORDER_TIMEOUT_MS = 2_000;
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 const OK = 200;
 
-/** Whom to order and how to reach it. */
-interface EngineOrdersOptions {
+/** The host, and how to reach its engine. */
+interface EngineControllerOptions {
   readonly hostId: string;
   readonly backend: HttpBackend;
-  /** The engine's address while it is announced. */
+  /** URL of the engine while it is announced. */
   readonly findUrl: () => string | undefined;
 }
 
 /**
- * Gives orders one after the other. Engines that ignore the fencing number must
- * never see two orders at once, so a new one waits for the end of the old.
+ * Sends orders one at a time. An engine that ignores the fencing number must never
+ * receive two orders at once, so a new order waits until the previous one has ended.
  */
 export class EngineController {
   private desiredGroup: Group | null = null;
@@ -26,25 +26,25 @@
   private isSending = false;
   private isClosed = false;
 
-  private constructor(private readonly options: EngineOrdersOptions) {}
+  private constructor(private readonly options: EngineControllerOptions) {}
 
   /**
-   * Creates a giver of orders that has nothing to order yet.
+   * Creates a controller that has no order to send yet.
    *
    * @example
-   * const orders = EngineOrders.create({hostId, backend, findUrl});
+   * const engine = EngineOrders.create({hostId, backend, findUrl});
    */
-  static create(options: EngineOrdersOptions): EngineController {
+  static create(options: EngineControllerOptions): EngineController {
     return new EngineController(options);
   }
 
-  /** Wants the engine to work for this group, or for none. */
+  /** Sets the group that the engine should work for, or none. */
   setDesiredGroup(group: Group | null): void {
     this.desiredGroup = group;
     void this.sendUntilAccepted();
   }
 
-  /** Wants an engine that has no group to load this model in advance. */
+  /** Sets the model that the engine should preload while it has no group. */
   setStandbyModel(model: string | null): void {
     this.standbyModel = model;
     const isPending = model !== null && this.preloaded !== model;
@@ -53,7 +53,7 @@
     }
   }
 
-  /** True once the engine took the order for this group and epoch. */
+  /** Whether the current engine accepted the order for this group and epoch. */
   hasAccepted(group: Group): boolean {
     const {accepted} = this;
     return (
@@ -63,7 +63,7 @@
     );
   }
 
-  /** Orders again when the engine is another one than before. */
+  /** Sends the order again when the engine was replaced by another one. */
   refresh(): void {
     const isPending =
       this.desiredGroup !== null && !this.hasAccepted(this.desiredGroup);
@@ -84,7 +84,7 @@
     while (!this.isClosed && this.hasPendingOrder()) {
       const isDone = await this.sendPendingOrder().catch(() => false);
       if (!isDone) {
-        await new Promise(resolve => setTimeout(resolve, RETRY_MS));
+        await new Promise(resolve => setTimeout(resolve, RETRY_DELAY_MS));
       }
     }
     this.isSending = false;
@@ -120,7 +120,7 @@
     if (!url) {
       return false;
     }
-    // Plain services take no orders.
+    // Plain services have no endpoint for orders.
     const isDone =
       group.kind === 'service' ||
       (await this.sendOrder(url, '/orders', {
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -1,4 +1,4 @@
-/** This host's part in its group: membership, the engine's orders, and the lease if it is first. */
+/** This host as a member of its group: its membership, its engine's orders, and the group's lease if it is the first member. */
 import {Clock} from '../common/clock';
 import {GroupLease} from '../coordination/groups/group_lease';
 import {HEARTBEAT_LEASE_MS} from '../coordination/groups/heartbeat_lease_ms';
@@ -12,13 +12,13 @@
 import {EngineController} from './engine_controller';
 import {HeartbeatPoller} from './heartbeat_poller';
 
-/** Who the host is and what it works with. */
+/** The host's identity and what it works with. */
 interface GroupMemberOptions {
   readonly hostId: string;
   readonly identity: Parameters<typeof Peer.create>[1];
-  /** For what this host has promised others: it never counts too long. */
+  /** For what this host has promised to others: never overestimates the time that has passed. */
   readonly clock: Clock;
-  /** For what others have promised this host: it never counts too short. */
+  /** For what others have promised to this host: never underestimates the time that has passed. */
   readonly leaseClock: Clock;
   readonly engine: EngineController;
   readonly security?: TransportSecurity;
@@ -29,14 +29,14 @@
   'assignment' | 'told' | 'isServing' | 'missing'
 >;
 
-/** Answers heartbeats as a member, asks for them as the first. */
+/** Answers heartbeat requests as a member, and sends them as the first member. */
 export class GroupMember {
   private readonly membership: Membership;
   private lease: GroupLease | undefined;
   private poller: HeartbeatPoller | undefined;
-  /** How far the clock of leases is ahead of the other. */
+  /** How far the lease clock was ahead of the steady clock when last compared. */
   private clockOffsetMs = 0;
-  /** When this process last found that it was away, on its steady clock. */
+  /** When this process last found that it had been suspended, on its steady clock. */
   private resumedAt = -Infinity;
 
   private constructor(private readonly options: GroupMemberOptions) {
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Creates the part of a process that has just started and belongs to no group.
+   * Creates the membership of a process that has just started and belongs to no group.
    *
    * @example
    * const member = GroupMember.create({hostId, identity, clock, leaseClock, orders});
@@ -55,17 +55,17 @@
     return new GroupMember(options);
   }
 
-  /** The group that control last named. */
+  /** The group that control last assigned. */
   get group(): Group | null {
     return this.membership.group;
   }
 
-  /** True while the process must not offer itself to control yet. */
+  /** Whether the process must not report itself to control yet. */
   isInStartupDelay(now: number): boolean {
     return this.membership.isQuiet(now);
   }
 
-  /** Takes over what control says; true when the group or its epoch changed. */
+  /** Applies an assignment by control; returns whether the group or its epoch changed. */
   assign(group: Group | null): boolean {
     if (!this.membership.assign(group)) {
       return false;
@@ -78,7 +78,7 @@
     return true;
   }
 
-  /** Answers the first member of a group, truly or with a refusal. */
+  /** Answers the first member of a group: whether this host is a ready member of it. */
   answerHeartbeat(
     peer: Peer,
     ask: MessageOf<MembershipMessage, 'heartbeat-ask'>,
@@ -100,29 +100,29 @@
     });
   }
 
-  /** The backend server took the orders for the group and epoch. */
+  /** Whether the backend server accepted the order for the group and epoch. */
   hasBackend(): boolean {
     const {group} = this;
     return group !== null && this.options.engine.hasAccepted(group);
   }
 
-  /** Members without which the group must not serve. */
+  /** Lists the members without whose heartbeats the group must not serve. */
   listMissing(now: number): string[] {
     const leaseNow = this.options.leaseClock.now();
     const missing = this.lease?.listMissing(leaseNow) ?? [];
-    // The old group may still count this host, so the new one cannot yet.
+    // The previous group may still rely on this host, so the new group must not yet.
     return this.membership.isBoundElsewhere(now)
       ? [this.options.hostId, ...missing]
       : missing;
   }
 
-  /** True for a first member whose whole group is present and ready. */
+  /** Whether this host is the first member and every member is present and ready. */
   isServing(now: number): boolean {
     const isLeading = this.lease !== undefined;
     return isLeading && this.hasBackend() && this.listMissing(now).length === 0;
   }
 
-  /** Why work for a group and epoch must stop; undefined while it may go on. */
+  /** Finds why attempts for a group and epoch must stop; undefined while they may continue. */
   findStopReason(work: {groupId: string; epoch: number}): string | undefined {
     const {group} = this;
     if (group?.id !== work.groupId || group.epoch !== work.epoch) {
@@ -134,7 +134,7 @@
       : `members are missing: ${missing.join(' ')}`;
   }
 
-  /** What control is told. */
+  /** Creates the group's part of the report to control. */
   createGroupReport(now: number): GroupReport {
     const {group} = this;
     return {
@@ -147,14 +147,14 @@
     };
   }
 
-  /** Stops asking; the lease is over. */
+  /** Stops the heartbeats and gives up the group's lease. */
   close(): void {
     this.poller?.close();
     this.poller = undefined;
     this.lease = undefined;
   }
 
-  /** After an own pause everybody has been silent, and nobody is lost for that. */
+  /** After this process was suspended every member seems silent, and none must be reported missing for that. */
   private hasResumedRecently(now: number): boolean {
     const aheadMs = this.options.leaseClock.now() - now;
     if (aheadMs - this.clockOffsetMs > HEARTBEAT_LEASE_MS) {
--- a/src/host/heartbeat_poller.ts
+++ b/src/host/heartbeat_poller.ts
@@ -1,4 +1,4 @@
-/** The first member's side of heartbeats: asks every other member, again and again. */
+/** The first member's side of heartbeats: polls every other member at a fixed interval. */
 import {Clock} from '../common/clock';
 import {GroupLease} from '../coordination/groups/group_lease';
 import {connectPeer} from '../protocol/connect_peer';
@@ -8,10 +8,10 @@
 import {Peer} from '../protocol/peer';
 import {TransportSecurity} from '../transport/transport_security';
 
-const ASK_EVERY_MS = 150;
+const POLL_INTERVAL_MS = 150;
 
-/** What the asker works on. */
-interface HeartbeatAskerOptions {
+/** What the poller works with. */
+interface HeartbeatPollerOptions {
   readonly group: Group;
   readonly lease: GroupLease;
   readonly identity: Parameters<typeof Peer.create>[1];
@@ -19,7 +19,7 @@
   readonly security?: TransportSecurity;
 }
 
-/** Keeps a lease fresh while every member answers. */
+/** Renews the group's lease while every member answers. */
 export class HeartbeatPoller {
   private readonly peers = new Map<string, Peer>();
   private readonly connecting = new Set<string>();
@@ -28,18 +28,18 @@
   private nonce = 0;
   private isClosed = false;
 
-  private constructor(private readonly options: HeartbeatAskerOptions) {
-    this.timer = setInterval(() => this.probeMembers(), ASK_EVERY_MS);
+  private constructor(private readonly options: HeartbeatPollerOptions) {
+    this.timer = setInterval(() => this.probeMembers(), POLL_INTERVAL_MS);
     this.probeMembers();
   }
 
   /**
-   * Starts asking.
+   * Starts polling.
    *
    * @example
-   * const asker = HeartbeatAsker.create({group, lease, identity, clock});
+   * const poller = HeartbeatAsker.create({group, lease, identity, clock});
    */
-  static create(options: HeartbeatAskerOptions): HeartbeatPoller {
+  static create(options: HeartbeatPollerOptions): HeartbeatPoller {
     return new HeartbeatPoller(options);
   }
 
@@ -92,7 +92,7 @@
       });
       this.probeMembers();
     } catch {
-      // The next round tries again; the lease runs out meanwhile.
+      // The next round tries again; until it succeeds the lease is not renewed.
     } finally {
       this.connecting.delete(hostId);
     }
@@ -102,16 +102,16 @@
     answer: MessageOf<MembershipMessage, 'heartbeat-answer'>,
   ): void {
     const {group, lease} = this.options;
-    const askedAt = this.sentAtByNonce.get(answer.nonce);
-    const isAboutGroup =
+    const sentAt = this.sentAtByNonce.get(answer.nonce);
+    const isForGroup =
       answer.groupId === group.id && answer.epoch === group.epoch;
-    if (askedAt === undefined || !isAboutGroup) {
+    if (sentAt === undefined || !isForGroup) {
       return;
     }
     if (answer.isMember) {
-      lease.recordHeartbeat(answer.hostId, askedAt);
+      lease.recordHeartbeat(answer.hostId, sentAt);
     } else {
-      lease.recordRefusal(answer.hostId, askedAt);
+      lease.recordRefusal(answer.hostId, sentAt);
     }
   }
 
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -1,4 +1,4 @@
-/** The process beside one backend server: member of a group, fence, runner of work. */
+/** The process next to one backend server: takes part in a group, fences the backend server, and runs attempts on it. */
 import {randomBytes} from 'node:crypto';
 import {EventRing} from '../common/event_ring';
 import {LeaseClock} from '../common/lease_clock';
@@ -26,18 +26,18 @@
 import {HostSettings} from './host_settings';
 import {AttemptRunner} from './attempt_runner';
 
-const CHECK_EVERY_MS = 50;
-/** How long a stopping host waits for its release after its last request. */
+const CHECK_INTERVAL_MS = 50;
+/** Milliseconds that a stopping host waits, after its last attempt, for control to release it. */
 const RELEASE_TIMEOUT_MS = 10_000;
-const DRAIN_POLL_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
 /** A running host process. */
 export class HostServer {
-  /** What happened here, newest in memory. */
+  /** Recent events of this process, kept in memory. */
   readonly events = EventRing.create();
   private readonly incarnation = randomBytes(8).toString('hex');
   private readonly clock = systemClock;
-  /** For leases and start-by times, which a suspension ends. */
+  /** For leases and start-by times, which must also pass while the machine is suspended. */
   private readonly leaseClock = LeaseClock.create({
     steady: systemClock,
     wall: () => Date.now(),
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Listens for its backend server, entries and members, and reports to control.
+   * Listens for its backend server, entries and other members, and reports to control.
    *
-   * @throws TransportError when an address cannot be taken
+   * @throws TransportError when an address cannot be bound
    * @example
    * const host = await HostServer.create(settings);
    */
@@ -96,7 +96,7 @@
     return host;
   }
 
-  /** The port for entries and members. */
+  /** The port for entries and other members. */
   get port(): number {
     return this.server?.port ?? 0;
   }
@@ -107,14 +107,14 @@
   }
 
   /**
-   * Leaves: takes no new work, lets what runs finish, waits until control
-   * released the host, then stops. What still runs when the time is over is
-   * given up, and its entry is told so.
+   * Shuts down gracefully: refuses new attempts, lets running ones finish, waits
+   * until control has released the host, then stops. Attempts that still run when
+   * the time for the stop is over are stopped, and their entries are told.
    */
   async drain(): Promise<void> {
     const {clock, runner} = this;
     this.isLeaving = true;
-    this.record('leaving', 'the process was told to stop');
+    this.record('leaving', 'the process received a stop signal');
     this.session?.reportNow();
     const schedule = StopSchedule.create({
       withinMs: this.settings.stopWithinMs,
@@ -129,7 +129,7 @@
       if (runner.runningCount > 0) {
         releaseBy = clock.now() + RELEASE_TIMEOUT_MS;
       }
-      await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_MS));
+      await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_INTERVAL_MS));
     }
     if (runner.runningCount > 0) {
       const reason = 'the time for the stop is over';
@@ -138,13 +138,13 @@
         `${runner.runningCount} requests: ${reason}`,
       );
       runner.stopAll(reason);
-      // Entries are told before their connections close.
-      await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_MS));
+      // The entries must receive the end messages before their connections close.
+      await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_INTERVAL_MS));
     }
     await this.close();
   }
 
-  /** Stops at once. */
+  /** Stops without waiting for attempts or for control. */
   async close(): Promise<void> {
     this.timers.forEach(timer => clearInterval(timer));
     this.session?.close();
@@ -190,7 +190,7 @@
       createReport: () => this.createReport(),
       onDirective: directive => this.applyDirective(directive),
     });
-    this.timers.push(setInterval(() => this.checkServing(), CHECK_EVERY_MS));
+    this.timers.push(setInterval(() => this.checkServing(), CHECK_INTERVAL_MS));
   }
 
   private get identity() {
@@ -272,7 +272,7 @@
     const missing = this.member.listMissing(now).join(' ');
     const reason = missing
       ? `members are missing: ${missing}`
-      : 'the group or engine changed';
+      : 'the group, its epoch or the engine changed';
     this.record(
       isServing ? 'serving' : 'stopped-serving',
       isServing ? 'every member is present' : reason,
@@ -304,7 +304,7 @@
       isLeaving: this.isLeaving || (backend?.isLeaving ?? false),
       ...this.member.createGroupReport(now),
       running: this.runner.runningCount,
-      // A group that was told to drain starts nothing new, so this stays true.
+      // A draining group starts no new attempts, so this stays true once it is.
       isDrained:
         this.member.group?.isDraining === true &&
         this.runner.runningCount === 0,
--- a/src/host/host_settings.ts
+++ b/src/host/host_settings.ts
@@ -1,21 +1,21 @@
 import {TransportSecurity} from '../transport/transport_security';
 
-/** Everything that a host process is told when it starts. */
+/** Configuration of a host process. */
 export interface HostSettings {
   readonly hostId: string;
   readonly zone: string;
   /** Fabric domain that this host belongs to. */
   readonly domain: string;
-  /** Where entries and other members connect. */
+  /** Address to listen on for entries and other members. */
   readonly host: string;
   readonly port: number;
-  /** Address that others are told, when it is not where this process listens. */
+  /** Address that other processes connect to, if it differs from the listening address. */
   readonly advertise?: string;
-  /** Where the backend server announces itself. */
+  /** Address to listen on for announcements of the backend server. */
   readonly announceHost: string;
   readonly announcePort: number;
   readonly control: readonly string[];
-  /** From the signal to stop to the end by force, in milliseconds. */
+  /** Milliseconds from the stop signal to the forced exit. */
   readonly stopWithinMs: number;
   readonly security?: TransportSecurity;
 }
--- a/src/host/listen_for_announcements.ts
+++ b/src/host/listen_for_announcements.ts
@@ -1,4 +1,4 @@
-/** The local HTTP endpoint where the backend server announces itself. */
+/** Local HTTP endpoint where the backend server announces itself. */
 import {IncomingMessage, ServerResponse} from 'node:http';
 import {BackendAnnouncement} from '../protocol/backend_announcement';
 import {HttpListener} from '../transport/http_listener';
@@ -6,21 +6,21 @@
 
 const MAX_ANNOUNCEMENT_BYTES = 16 * 1024;
 
-/** Where to listen and what to answer. */
+/** The address to listen on, and what handles the requests. */
 interface AnnounceListenerOptions {
   readonly host: string;
   readonly port: number;
   readonly onAnnounce: (announcement: BackendAnnouncement) => void;
-  /** What `GET /status` shows. */
+  /** Creates the body of the response to `GET /status`. */
   readonly createStatus: () => object;
 }
 
 /**
- * Starts the endpoint.
+ * Starts the endpoint for announcements and status.
  *
- * @throws TransportError when the address cannot be taken
+ * @throws TransportError when the address cannot be bound
  * @example
- * const listener = await listenForAnnouncements({host, port, onAnnounce, describe});
+ * const listener = await listenForAnnouncements({host, port, onAnnounce, createStatus});
  */
 export function listenForAnnouncements(
   options: AnnounceListenerOptions,
@@ -44,21 +44,21 @@
 ): Promise<void> {
   const route = `${request.method} ${request.url}`;
   if (route === 'GET /status') {
-    answerJson(response, 200, options.createStatus());
+    sendJson(response, 200, options.createStatus());
     return;
   }
   if (route !== 'POST /announce') {
-    answerJson(response, 404, {error: 'try POST /announce or GET /status'});
+    sendJson(response, 404, {error: 'try POST /announce or GET /status'});
     return;
   }
   const body = await readHttpBody(request, MAX_ANNOUNCEMENT_BYTES);
   const announcement = parseAnnouncement(body);
   if (typeof announcement === 'string') {
-    answerJson(response, 400, {error: announcement});
+    sendJson(response, 400, {error: announcement});
     return;
   }
   options.onAnnounce(announcement);
-  answerJson(response, 200, {});
+  sendJson(response, 200, {});
 }
 
 function parseAnnouncement(body: Buffer): BackendAnnouncement | string {
@@ -74,7 +74,7 @@
   }
 }
 
-function answerJson(
+function sendJson(
   response: ServerResponse,
   status: number,
   value: object,
--- a/src/host/local_backend.ts
+++ b/src/host/local_backend.ts
@@ -1,11 +1,11 @@
-/** The backend server beside this host process, as it last announced itself. */
+/** The backend server next to this host process, as it last announced itself. */
 import {Clock} from '../common/clock';
 import {BackendAnnouncement} from '../protocol/backend_announcement';
 
-/** Silence after which the backend server counts as gone. */
-const PRESENT_MS = 3_000;
+/** Time without an announcement after which the backend server counts as gone. */
+const ANNOUNCEMENT_TTL_MS = 3_000;
 
-/** Holds the newest announcement for as long as it is fresh. */
+/** Keeps the latest announcement until it expires. */
 export class LocalBackend {
   private announcement: BackendAnnouncement | undefined;
   private announcedAt = -Infinity;
@@ -13,22 +13,22 @@
   private constructor(private readonly clock: Clock) {}
 
   /**
-   * Creates an empty slot.
+   * Creates an instance without an announcement.
    *
    * @example
-   * const slot = BackendSlot.create(systemClock);
+   * const localBackend = BackendSlot.create(systemClock);
    */
   static create(clock: Clock): LocalBackend {
     return new LocalBackend(clock);
   }
 
-  /** The backend server, if it announced itself lately. */
+  /** The backend server, unless its announcement has expired. */
   get current(): BackendAnnouncement | undefined {
-    const isFresh = this.clock.now() - this.announcedAt < PRESENT_MS;
+    const isFresh = this.clock.now() - this.announcedAt < ANNOUNCEMENT_TTL_MS;
     return isFresh ? this.announcement : undefined;
   }
 
-  /** Takes an announcement; true when it differs from the one before. */
+  /** Stores an announcement; returns whether it differs from the previous one. */
   recordAnnouncement(announcement: BackendAnnouncement): boolean {
     const isChange =
       JSON.stringify(this.current) !== JSON.stringify(announcement);
@@ -37,7 +37,7 @@
     return isChange;
   }
 
-  /** Notes that nothing listens where the backend server was. */
+  /** Discards the announcement of a backend server that no longer listens. */
   clear(): void {
     this.announcedAt = -Infinity;
   }
--- a/src/host/running_attempt.ts
+++ b/src/host/running_attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt that runs on the backend server, with its answer on the way back. */
+/** One attempt that runs on the backend server, and its response on the way to the entry. */
 import {MessageOf} from '../protocol/message_of';
 import {Outcome} from '../protocol/outcome';
 import {SseSplitter} from '../protocol/sse_splitter';
@@ -6,7 +6,7 @@
 import {HttpBackend} from '../transport/http_backend';
 import {TransportError} from '../transport/transport_error';
 
-const MAX_PIECE_BYTES = 64 * 1024;
+const MAX_FRAME_DATA_BYTES = 64 * 1024;
 const MAX_EVENT_BYTES = 1024 * 1024;
 const SERVER_ERROR = 500;
 const EVENT_STREAM = 'text/event-stream';
@@ -22,14 +22,14 @@
   readonly dispatch: MessageOf<WorkMessage, 'dispatch'>;
   readonly backend: HttpBackend;
   readonly backendUrl: string;
-  /** The fencing number that the backend server is told. */
+  /** Epoch of the group, which the backend server receives with the request for fencing. */
   readonly epoch: number;
   readonly send: (message: WorkMessage) => void;
-  /** Called before anything is passed on; a text stops the attempt. */
+  /** Called before anything is forwarded; a returned reason stops the attempt. */
   readonly findStopReason: () => string | undefined;
 }
 
-/** Runs one attempt and sends its answer in frames, within the given credit. */
+/** Runs one attempt and sends its response in frames, as far as the entry's credit allows. */
 export class RunningAttempt {
   /** Resolves once, after the last frame was sent. */
   readonly ended: Promise<AttemptEnd>;
@@ -54,13 +54,13 @@
     return new RunningAttempt(options);
   }
 
-  /** Lets more bytes of the answer go out. */
+  /** Allows more bytes of the response to be sent. */
   addCredit(bytes: number): void {
     this.credit += bytes;
     this.resumeSending?.();
   }
 
-  /** Stops the work; the first reason stands. */
+  /** Stops the attempt; the first reason is kept. */
   stop(end: AttemptEnd): void {
     this.stopEnd ??= end;
     this.abort.abort();
@@ -152,28 +152,32 @@
   }
 
   private async sendChunks(bytes: Buffer): Promise<void> {
-    for (let offset = 0; offset < bytes.length; offset += MAX_PIECE_BYTES) {
-      const piece = bytes.subarray(offset, offset + MAX_PIECE_BYTES);
+    for (
+      let offset = 0;
+      offset < bytes.length;
+      offset += MAX_FRAME_DATA_BYTES
+    ) {
+      const chunk = bytes.subarray(offset, offset + MAX_FRAME_DATA_BYTES);
       while (this.credit <= 0) {
         await new Promise<void>(resolve => (this.resumeSending = resolve));
         this.checkNotStopped();
       }
-      this.credit -= piece.length;
+      this.credit -= chunk.length;
       const {stream} = this.options.dispatch;
       this.options.send({
         type: 'data',
         stream,
         sequence: this.sequence,
-        bytes: piece,
+        bytes: chunk,
       });
       this.sequence += 1;
     }
   }
 
   private checkNotStopped(): void {
-    const refusal = this.options.findStopReason();
-    if (refusal) {
-      this.stop({outcome: 'failed', reason: refusal});
+    const reason = this.options.findStopReason();
+    if (reason) {
+      this.stop({outcome: 'failed', reason});
     }
     if (this.stopEnd) {
       throw new TransportError({name: 'Stopped'}, this.stopEnd.reason);
