--- a/src/entry/host_connection.ts
+++ b/src/entry/host_connection.ts
@@ -63,7 +63,7 @@
    *
    * @throws TransportError when the connection cannot be established
    * @example
-   * const connection = await HostLink.connect({address, identity, clock, onClosed});
+   * const connection = await HostConnection.connect({address, identity, clock, onClosed});
    */
   static async connect(
     options: HostConnectionOptions,
--- a/src/entry/host_connections.ts
+++ b/src/entry/host_connections.ts
@@ -34,7 +34,7 @@
    * Creates an empty pool that reconnects on its own.
    *
    * @example
-   * const connections = HostLinks.create({identity, clock});
+   * const connections = HostConnections.create({identity, clock});
    * connections.setWanted(['127.0.0.1:7100']);
    */
   static create(options: HostConnectionsOptions): HostConnections {
--- a/src/entry/routing_table.ts
+++ b/src/entry/routing_table.ts
@@ -39,7 +39,7 @@
    * Starts polling control.
    *
    * @example
-   * const table = RouteTable.create({entryId, client, clock, onGroups, onBundle});
+   * const table = RoutingTable.create({entryId, client, clock, onGroups, onBundle});
    */
   static create(options: RoutingTableOptions): RoutingTable {
     return new RoutingTable(options);
--- a/src/host/attempt_runner.ts
+++ b/src/host/attempt_runner.ts
@@ -1,4 +1,4 @@
-/** Takes dispatches from entries, runs them, answers for their state. */
+/** Accepts dispatches from entries, runs them on the backend server, and reports their outcomes. */
 import {Clock} from '../common/clock';
 import {EventRing} from '../common/event_ring';
 import {DispatchLedger} from '../coordination/requests/dispatch_ledger';
@@ -61,7 +61,7 @@
    * Creates a runner without connections.
    *
    * @example
-   * const runner = WorkRunner.create(options);
+   * const runner = AttemptRunner.create(options);
    * runner.accept(peer);
    */
   static create(options: AttemptRunnerOptions): AttemptRunner {
@@ -131,7 +131,7 @@
   };
 
   private dispatch(connection: EntryConnection, dispatch: Dispatch): void {
-    const {clock, findRefusalReason: refuse, findBackendUrl} = this.options;
+    const {clock, findRefusalReason, findBackendUrl} = this.options;
     // Read after the frame has arrived: after a suspension the frame may be old, but the clock is current.
     const now = clock.now();
     const {attemptId, stream} = dispatch;
@@ -150,7 +150,7 @@
     const url = findBackendUrl();
     const refusal = known
       ? 'the attempt was given up before it came'
-      : refuse(dispatch, now);
+      : findRefusalReason(dispatch, now);
     if (refusal || !url) {
       // A refused attempt must never start, even if its dispatch arrives again.
       this.tracker.recordTombstone(attemptId, now);
@@ -172,14 +172,14 @@
     dispatch: Dispatch,
     backendUrl: string,
   ): void {
-    const {backend, findStopReason: checkRight, events} = this.options;
+    const {backend, findStopReason, events} = this.options;
     const attempt = RunningAttempt.create({
       dispatch,
       backend,
       backendUrl,
       epoch: dispatch.epoch,
       send: message => connection.peer.send(message),
-      findStopReason: () => checkRight(dispatch),
+      findStopReason: () => findStopReason(dispatch),
     });
     this.running.set(attempt, dispatch);
     connection.attempts.set(dispatch.stream, attempt);
--- a/src/host/engine_controller.ts
+++ b/src/host/engine_controller.ts
@@ -32,7 +32,7 @@
    * Creates a controller that has no order to send yet.
    *
    * @example
-   * const engine = EngineOrders.create({hostId, backend, findUrl});
+   * const engine = EngineController.create({hostId, backend, findUrl});
    */
   static create(options: EngineControllerOptions): EngineController {
     return new EngineController(options);
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -1,4 +1,4 @@
-/** This host as a member of its group: its membership, its engine's orders, and the group's lease if it is the first member. */
+/** This host as a member of its group, and as the holder of the group's lease if it is the first. */
 import {Clock} from '../common/clock';
 import {GroupLease} from '../coordination/groups/group_lease';
 import {HEARTBEAT_LEASE_MS} from '../coordination/groups/heartbeat_lease_ms';
@@ -49,7 +49,7 @@
    * Creates the membership of a process that has just started and belongs to no group.
    *
    * @example
-   * const member = GroupMember.create({hostId, identity, clock, leaseClock, orders});
+   * const member = GroupMember.create({hostId, identity, clock, leaseClock, engine});
    */
   static create(options: GroupMemberOptions): GroupMember {
     return new GroupMember(options);
@@ -83,11 +83,15 @@
     peer: Peer,
     ask: MessageOf<MembershipMessage, 'heartbeat-ask'>,
   ): void {
-    const {id: askerId, incarnation} = peer.remote;
+    const {id: firstHostId, incarnation} = peer.remote;
     const now = this.options.clock.now();
     const isMember =
       this.hasBackend() &&
-      this.membership.answerHeartbeat(ask, {hostId: askerId, incarnation}, now);
+      this.membership.answerHeartbeat(
+        ask,
+        {hostId: firstHostId, incarnation},
+        now,
+      );
     const {hostId} = this.options;
     const {groupId, epoch, nonce} = ask;
     peer.send({
--- a/src/host/heartbeat_poller.ts
+++ b/src/host/heartbeat_poller.ts
@@ -37,7 +37,7 @@
    * Starts polling.
    *
    * @example
-   * const poller = HeartbeatAsker.create({group, lease, identity, clock});
+   * const poller = HeartbeatPoller.create({group, lease, identity, clock});
    */
   static create(options: HeartbeatPollerOptions): HeartbeatPoller {
     return new HeartbeatPoller(options);
--- a/src/host/host_server.ts
+++ b/src/host/host_server.ts
@@ -44,7 +44,7 @@
     onPause: pause =>
       recordPause(this.events, 'host', this.settings.hostId, pause),
   });
-  private readonly backend = HttpBackend.create();
+  private readonly backendClient = HttpBackend.create();
   private readonly localBackend = LocalBackend.create(this.clock);
   private readonly engine: EngineController;
   private readonly member: GroupMember;
@@ -60,7 +60,7 @@
   private constructor(private readonly settings: HostSettings) {
     this.engine = EngineController.create({
       hostId: settings.hostId,
-      backend: this.backend,
+      backend: this.backendClient,
       findUrl: () => this.localBackend.current?.url,
     });
     this.member = GroupMember.create({
@@ -75,7 +75,7 @@
       incarnation: this.incarnation,
       clock: this.leaseClock,
       events: this.events,
-      backend: this.backend,
+      backend: this.backendClient,
       findBackendUrl: () => this.localBackend.current?.url,
       findRefusalReason: (dispatch, now) =>
         this.findRefusalReason(dispatch, now),
@@ -114,7 +114,7 @@
   async drain(): Promise<void> {
     const {clock, runner} = this;
     this.isLeaving = true;
-    this.record('leaving', 'the process received a stop signal');
+    this.record('leaving', 'shutdown was requested');
     this.session?.reportNow();
     const schedule = StopSchedule.create({
       withinMs: this.settings.stopWithinMs,
@@ -153,7 +153,7 @@
     this.runner.close();
     await this.server?.close();
     await this.announceListener?.close();
-    await this.backend.close();
+    await this.backendClient.close();
   }
 
   private async start(): Promise<void> {
--- a/src/host/local_backend.ts
+++ b/src/host/local_backend.ts
@@ -16,7 +16,7 @@
    * Creates an instance without an announcement.
    *
    * @example
-   * const localBackend = BackendSlot.create(systemClock);
+   * const localBackend = LocalBackend.create(systemClock);
    */
   static create(clock: Clock): LocalBackend {
     return new LocalBackend(clock);
--- a/src/host/running_attempt.ts
+++ b/src/host/running_attempt.ts
@@ -48,7 +48,7 @@
    * Starts the attempt at once.
    *
    * @example
-   * const attempt = RunningAttempt.create({dispatch, backend, backendUrl, epoch, send, checkRight});
+   * const attempt = RunningAttempt.create({dispatch, backend, backendUrl, epoch, send, findStopReason});
    */
   static create(options: RunningAttemptOptions): RunningAttempt {
     return new RunningAttempt(options);
