--- a/test/end_to_end/entry_stops.test.ts
+++ b/test/end_to_end/entry_shutdown.test.ts
@@ -1,4 +1,4 @@
-/** An entry that stops, and requests whose body is still coming. */
+/** Requests whose body is still arriving while the entry shuts down. */
 import * as net from 'node:net';
 import {afterEach, beforeEach, expect, test} from 'vitest';
 import {Bundle} from '../../src/protocol/bundle';
@@ -14,7 +14,7 @@
     {name: 'hotel', keyHashes: [computeDigest(KEY)], maxInFlight: 8},
   ],
 });
-/** Longer than callers take to notice, shorter than the stop. */
+/** Longer than the entry gives callers to notice the stop, shorter than the whole stop. */
 const LATE_MS = 3_200;
 
 let fleet: TestFleet;
@@ -31,8 +31,8 @@
 });
 afterEach(() => fleet?.close());
 
-/** A request of which the first bytes of the body are sent. */
-function begin(tokens: number) {
+/** Starts a request and sends only the first bytes of its body. */
+function startRequest(tokens: number) {
   const body = JSON.stringify({
     model: 'assistant',
     stream: true,
@@ -42,43 +42,43 @@
     Number(fleet.findEntry('entry-1').ready['port']),
     '127.0.0.1',
   );
-  const seen = {text: ''};
-  socket.on('data', chunk => (seen.text += String(chunk)));
+  const received = {text: ''};
+  socket.on('data', chunk => (received.text += String(chunk)));
   socket.on('error', () => undefined);
   socket.write(
     `POST /v1/chat/completions HTTP/1.1\r\nhost: h\r\nauthorization: Bearer ${KEY}\r\ncontent-type: application/json\r\ncontent-length: ${body.length}\r\n\r\n${body.slice(0, 10)}`,
   );
-  return {seen, socket, finish: () => socket.write(body.slice(10))};
+  return {received, socket, finish: () => socket.write(body.slice(10))};
 }
 
 const wait = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-test('a request whose body is whole long after callers have noticed is not taken, whatever else is under way', async () => {
-  const holder = begin(100_000);
-  holder.finish();
-  const late = begin(10);
+test('refuses a request whose body is complete too late, while another request is still running', async () => {
+  const running = startRequest(100_000);
+  running.finish();
+  const late = startRequest(10);
   await wait(500);
   const stopped = fleet.findEntry('entry-1').stop();
   await wait(LATE_MS);
   late.finish();
 
   expect(await stopped).toBe(0);
-  expect(late.seen.text).toMatch(/^HTTP\/1.1 503 /);
-  expect(late.seen.text).toContain('whinreel-outcome: not-run');
-  expect(late.seen.text.toLowerCase()).toContain('connection: close');
+  expect(late.received.text).toMatch(/^HTTP\/1.1 503 /);
+  expect(late.received.text).toContain('whinreel-outcome: not-run');
+  expect(late.received.text.toLowerCase()).toContain('connection: close');
   expect(fleet.findEngine('h1').totalRuns).toBe(1);
-  holder.socket.destroy();
+  running.socket.destroy();
 });
 
-test('a request whose body is still coming when nothing else is under way is told that it has not run', async () => {
-  const late = begin(10);
+test('answers not-run to a request whose body is complete too late, while no other request is in flight', async () => {
+  const late = startRequest(10);
   await wait(500);
   const stopped = fleet.findEntry('entry-1').stop();
   await wait(LATE_MS);
   late.finish();
 
   expect(await stopped).toBe(0);
-  expect(late.seen.text).toMatch(/^HTTP\/1.1 503 /);
-  expect(late.seen.text).toContain('whinreel-outcome: not-run');
+  expect(late.received.text).toMatch(/^HTTP\/1.1 503 /);
+  expect(late.received.text).toContain('whinreel-outcome: not-run');
   expect(fleet.findEngine('h1').totalRuns).toBe(0);
 });
--- a/test/end_to_end/leftovers.test.ts
+++ b/test/end_to_end/orphaned_process.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {ManagedProcess} from '../support/managed_process';
 
-test('a process that a test started ends when the test is gone', async () => {
+test('a process started by a test exits when its stdin closes, as it does when the test process ends', async () => {
   const args = [
     ...[
       '--host-id',
--- a/test/end_to_end/whole_path.test.ts
+++ b/test/end_to_end/request_path.test.ts
@@ -48,15 +48,15 @@
   return fetch(`${fleet.entryUrl(entryId)}${path}`, {...init, headers});
 }
 
-function complete(body: object): Promise<Response> {
+function sendCompletion(body: object): Promise<Response> {
   return send('/v1/chat/completions', {
     method: 'POST',
     body: JSON.stringify(body),
   });
 }
 
-test('a streamed answer arrives whole, with its end mark', async () => {
-  const response = await complete({
+test('delivers a streamed response completely, including its end marker', async () => {
+  const response = await sendCompletion({
     model: 'assistant',
     stream: true,
     max_tokens: 40,
@@ -67,12 +67,12 @@
   expect(response.headers.get('content-type')).toBe('text/event-stream');
   expect(
     [...text.matchAll(/"content":"(t\d+) "/g)].map(match => match[1]),
-  ).toEqual(Array.from({length: 40}, (_, at) => `t${at}`));
+  ).toEqual(Array.from({length: 40}, (_, index) => `t${index}`));
   expect(text.endsWith('data: [DONE]\n\n')).toBe(true);
 });
 
-test('a whole answer names its outcome', async () => {
-  const response = await complete({model: 'assistant', max_tokens: 3});
+test('sends the outcome header with a response that is not streamed', async () => {
+  const response = await sendCompletion({model: 'assistant', max_tokens: 3});
 
   expect(response.headers.get('whinreel-outcome')).toBe('answered');
   expect(await response.json()).toEqual({
@@ -80,7 +80,7 @@
   });
 });
 
-test('a plain service is reached with method, path and body', async () => {
+test('forwards method, path and body to a plain service', async () => {
   const response = await send('/services/dispatch/pickups?day=1', {
     method: 'PUT',
     body: 'van',
@@ -93,7 +93,7 @@
   });
 });
 
-test('a call that is not repeatable runs once, also when another entry gets it again', async () => {
+test('runs a request that is not repeatable once, even if it is sent again through another entry', async () => {
   const call = {
     method: 'POST',
     body: 'invoice 7',
@@ -113,7 +113,7 @@
   expect(fleet.findEngine('s1').runsByBody.get('invoice 7')).toBe(1);
 });
 
-test('one key with two different bodies is refused', async () => {
+test('refuses an idempotency key that is reused with another body', async () => {
   const headers = {'idempotency-key': 'invoice-8'};
   await send('/services/dispatch/invoices', {
     method: 'POST',
@@ -133,12 +133,12 @@
   expect(fleet.findEngine('s1').runsByBody.get('other')).toBeUndefined();
 });
 
-test('wrong requests get a problem document and never run', async () => {
+test('answers invalid requests with a problem document and does not run them', async () => {
   const before = fleet.findEngine('h1').totalRuns;
   const unknownKey = await fetch(`${fleet.entryUrl()}/v1/chat/completions`, {
     method: 'POST',
   });
-  const unknownModel = await complete({model: 'nobody'});
+  const unknownModel = await sendCompletion({model: 'nobody'});
   const noJson = await send('/v1/chat/completions', {
     method: 'POST',
     body: '{',
@@ -158,10 +158,10 @@
   expect(fleet.findEngine('h1').totalRuns).toBe(before);
 });
 
-test('an engine that ends early without its mark gives an error event, never a normal end', async () => {
+test('sends an error event when the engine ends a stream without its end marker', async () => {
   const engine = fleet.findEngine('h1');
   engine.breakAfterTokens = 3;
-  const response = await complete({
+  const response = await sendCompletion({
     model: 'assistant',
     stream: true,
     max_tokens: 10,
@@ -174,17 +174,20 @@
   expect(text).not.toContain('[DONE]');
 });
 
-test('a body is read only for a known key, and only up to the limit', async () => {
+test('reads a body only for a known key, and only up to the size limit', async () => {
   const url = `${fleet.entryUrl()}/v1/chat/completions`;
   const body = 'x'.repeat(5 * 1024 * 1024);
-  const stranger = await call({url, method: 'POST', headers: {}, body});
-  const known = await call({
+  const unauthenticated = await call({url, method: 'POST', headers: {}, body});
+  const authenticated = await call({
     url,
     method: 'POST',
     headers: {authorization: `Bearer ${KEY}`},
     body,
   });
 
-  expect([stranger.status, known.status]).toEqual([401, 413]);
-  expect([stranger.outcome, known.outcome]).toEqual(['not-run', 'not-run']);
+  expect([unauthenticated.status, authenticated.status]).toEqual([401, 413]);
+  expect([unauthenticated.outcome, authenticated.outcome]).toEqual([
+    'not-run',
+    'not-run',
+  ]);
 });
--- a/test/entry/caller_response.test.ts
+++ b/test/entry/caller_response.test.ts
@@ -8,8 +8,8 @@
 
 afterEach(() => closers.splice(0).forEach(close => close()));
 
-/** The response to a caller that sends a request and reads nothing. */
-async function respondToSilentReader(): Promise<http.ServerResponse> {
+/** Returns the response to a caller that sends a request and never reads. */
+async function respondToStalledReader(): Promise<http.ServerResponse> {
   let found: http.ServerResponse | undefined;
   const server = http.createServer((_, response) => (found = response));
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
@@ -23,32 +23,32 @@
   return waitUntil('the request', () => found);
 }
 
-test('many attempts and many parts that wait for room add no more listeners', async () => {
-  const response = await respondToSilentReader();
+test('many attempts and many chunks that wait for the socket to drain do not add listeners', async () => {
+  const response = await respondToStalledReader();
   const before = response.listenerCount('close');
-  const answer = CallerResponse.create(response);
-  answer.start(200, {'content-type': 'text/event-stream'});
+  const callerResponse = CallerResponse.create(response);
+  callerResponse.start(200, {'content-type': 'text/event-stream'});
   let released = 0;
   for (let attempt = 0; attempt < 20; attempt += 1) {
-    answer.watchDisconnect(() => undefined);
-    answer.write(Buffer.alloc(1024 * 1024), () => (released += 1));
+    callerResponse.watchDisconnect(() => undefined);
+    callerResponse.write(Buffer.alloc(1024 * 1024), () => (released += 1));
   }
 
   expect(response.listenerCount('close') - before).toBeLessThanOrEqual(2);
   expect(response.listenerCount('drain')).toBe(1);
   expect(released).toBe(0);
   response.destroy();
-  await waitUntil('every part released', () => released === 20);
+  await waitUntil('every chunk released', () => released === 20);
 });
 
-test('of several attempts only the newest hears that the caller left', async () => {
-  const response = await respondToSilentReader();
-  const answer = CallerResponse.create(response);
-  const told: string[] = [];
-  answer.watchDisconnect(() => told.push('first'));
-  answer.watchDisconnect(() => told.push('second'));
+test('only the latest attempt is notified that the caller disconnected', async () => {
+  const response = await respondToStalledReader();
+  const callerResponse = CallerResponse.create(response);
+  const notified: string[] = [];
+  callerResponse.watchDisconnect(() => notified.push('first'));
+  callerResponse.watchDisconnect(() => notified.push('second'));
   response.destroy();
-  await waitUntil('the end', () => told.length > 0);
+  await waitUntil('the end', () => notified.length > 0);
 
-  expect(told).toEqual(['second']);
+  expect(notified).toEqual(['second']);
 });
--- a/test/entry/request_runner.test.ts
+++ b/test/entry/request_runner.test.ts
@@ -31,24 +31,26 @@
   return {id, epoch: 1, fencing: 1, ...place, members, isDraining: false};
 }
 
-/** Sends one request through a runner whose only replicas are the given hosts. */
-async function ask(
+/** Runs one request on the given hosts, which are its only replicas. */
+async function sendRequest(
   hosts: readonly FakeHost[],
   changes: Partial<CallerRequest> = {},
 ) {
-  const links = HostConnections.create({identity, clock: systemClock});
+  const connections = HostConnections.create({identity, clock: systemClock});
   const groups = hosts.map((host, at) => createGroup(`g${at}`, host.address));
-  links.setAddresses(hosts.map(host => host.address));
-  await waitUntil('links', () => hosts.every(host => links.find(host.address)));
+  connections.setAddresses(hosts.map(host => host.address));
+  await waitUntil('connections', () =>
+    hosts.every(host => connections.find(host.address)),
+  );
   const runner = RequestRunner.create({
     clock: systemClock,
     table: {groups} as unknown as RoutingTable,
-    connections: links,
+    connections,
     claims: IdempotencyClaims.create({
       client: ControlClient.create({addresses: [], identity}),
-      connections: links,
+      connections,
     }),
-    // Always the replica that comes first among those not tried.
+    // Always chooses the first replica that was not tried.
     random: () => 0,
   });
   const request: CallerRequest = {
@@ -71,7 +73,7 @@
   });
   await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
   closers.push(
-    () => links.close(),
+    () => connections.close(),
     () => server.close(),
   );
   const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}/`;
@@ -99,8 +101,8 @@
   return {type: 'end', stream, frames, outcome: 'answered', reason: ''};
 }
 
-describe('an answer', () => {
-  test('whose frames are lost, repeated or reordered is never passed on as whole', async () => {
+describe('a response', () => {
+  test('whose frames are lost, repeated or reordered never ends as complete', async () => {
     const orders = [
       [0, 2],
       [0, 0, 1],
@@ -114,14 +116,14 @@
         order.forEach(sequence => send(data(stream, sequence, `t${sequence}`)));
         send(end(stream, 3));
       });
-      const answer = await ask([host], {isRepeatable: true});
+      const answer = await sendRequest([host], {isRepeatable: true});
 
       expect(answer.outcome, String(order)).toBe('failed');
       expect(answer.text, String(order)).toMatch(/"outcome":"failed"/);
     }
   });
 
-  test('gets no frame of an attempt that was given up, however late it comes', async () => {
+  test('ignores late frames of an abandoned attempt', async () => {
     const lateSends: Array<() => void> = [];
     const first = await createHost((dispatch, send) => {
       const {stream} = dispatch;
@@ -144,7 +146,7 @@
         send(end(stream, 2));
       }, 50);
     });
-    const answer = await ask([first, second]);
+    const answer = await sendRequest([first, second]);
 
     expect(second.dispatches[0].headers).toEqual({
       'whinreel-resume-after': '1',
@@ -166,7 +168,7 @@
       send(data(stream, 0, 'a'));
       send(end(stream, 1));
     });
-    const answer = await ask([first, second]);
+    const answer = await sendRequest([first, second]);
 
     expect(answer.text.match(/data: a/g)).toHaveLength(1);
     expect(answer.text).toContain('event: error\n');
@@ -174,7 +176,7 @@
 });
 
 describe('a request', () => {
-  test('that was refused by one replica runs at the next, and both are told different attempts', async () => {
+  test('that one replica refused runs on the next one under another attempt id', async () => {
     const refusing = await createHost((dispatch, send) => {
       send({
         type: 'refused',
@@ -188,7 +190,7 @@
       send({type: 'head', stream, status: 200, headers: {}});
       send(end(stream, 0));
     });
-    const answer = await ask([refusing, answering]);
+    const answer = await sendRequest([refusing, answering]);
 
     expect(answer.outcome).toBe('answered');
     const attempts = [refusing, answering].map(
@@ -197,7 +199,7 @@
     expect(attempts).toEqual(['r.1', 'r.2']);
   });
 
-  test('that every replica refused is told not-run with a time to come back', async () => {
+  test('that every replica refused is answered not-run', async () => {
     const refuse: Parameters<typeof FakeHost.create>[0] = (dispatch, send) => {
       send({
         type: 'refused',
@@ -206,7 +208,7 @@
         retryAfterMs: 2_500,
       });
     };
-    const answer = await ask([
+    const answer = await sendRequest([
       await createHost(refuse),
       await createHost(refuse),
     ]);
@@ -214,7 +216,7 @@
     expect([answer.status, answer.outcome]).toEqual([503, 'not-run']);
   });
 
-  test('that may have run somewhere is not told not-run because others refused it', async () => {
+  test('that may have run on one replica is not answered not-run after another refused it', async () => {
     const breaking = await createHost((_dispatch, _send, peer) => peer.close());
     const refusing = await createHost((dispatch, send) => {
       send({
@@ -224,14 +226,16 @@
         retryAfterMs: 100,
       });
     });
-    const answer = await ask([breaking, refusing]);
+    const answer = await sendRequest([breaking, refusing]);
 
     expect(answer.outcome).toBe('unknown');
   });
 
-  test('whose deadline passes is told so at once and its attempt is cancelled', async () => {
+  test('whose deadline passes is answered unknown, and its attempt is cancelled', async () => {
     const silent = await createHost(() => undefined);
-    const answer = await ask([silent], {deadline: systemClock.now() + 300});
+    const answer = await sendRequest([silent], {
+      deadline: systemClock.now() + 300,
+    });
 
     expect(answer.outcome).toBe('unknown');
     await waitUntil('the cancel', () =>
--- a/test/entry/suspended_entry.test.ts
+++ b/test/entry/suspended_entry.test.ts
@@ -1,7 +1,7 @@
 /**
- * A machine may be suspended for seconds, and its steady clock does not count them.
- * An entry that had lost control and was away for 6 s still took work by a bundle
- * that it may act on for 5 s after control has confirmed it.
+ * The monotonic clock does not advance while a machine is suspended. An entry that had
+ * lost control and was suspended for 6 s still accepted requests under a bundle whose
+ * lease ends 5 s after control last confirmed it.
  */
 import {generateKeyPairSync} from 'node:crypto';
 import {mkdtempSync} from 'node:fs';
@@ -15,9 +15,9 @@
 import {waitUntil} from '../support/wait_until';
 
 const LEASE_MS = 5_000;
-const AWAY_MS = 6_000;
+const SUSPENDED_MS = 6_000;
 
-test('an entry that was suspended takes no work by what control said before', async () => {
+test('an entry is not ready after a suspension that outlasted its bundle lease', async () => {
   const address = `127.0.0.1:${await reservePort()}`;
   const [host, port] = address.split(':');
   const control = await ControlServer.create({
@@ -38,14 +38,17 @@
     control: [address],
     stopWithinMs: 1_000,
   });
-  const ask = async () =>
+  const getHealthStatus = async () =>
     (await fetch(`http://127.0.0.1:${entry.port}/healthz`)).status;
-  await waitUntil('a lease', async () => (await ask()) === 200);
+  await waitUntil(
+    'a bundle lease',
+    async () => (await getHealthStatus()) === 200,
+  );
   await control.close();
-  expect(await ask()).toBe(200);
+  expect(await getHealthStatus()).toBe(200);
 
-  const wake = suspend(AWAY_MS);
-  expect(await ask()).toBe(503);
+  const wake = suspend(SUSPENDED_MS);
+  expect(await getHealthStatus()).toBe(503);
   wake();
   await entry.close();
 });
--- a/test/host/heartbeat_poller.test.ts
+++ b/test/host/heartbeat_poller.test.ts
@@ -7,10 +7,10 @@
 import {FrameServer} from '../../src/transport/frame_server';
 import {waitUntil} from '../support/wait_until';
 
-type Ask = MessageOf<MembershipMessage, 'heartbeat-ask'>;
+type HeartbeatRequest = MessageOf<MembershipMessage, 'heartbeat-ask'>;
 
-test('an answer that comes late is not fresh, however new it looks', async () => {
-  const asks: Array<{ask: Ask; peer: Peer}> = [];
+test('a late answer renews the lease only from the time its request was sent', async () => {
+  const requests: Array<{request: HeartbeatRequest; peer: Peer}> = [];
   const server = await FrameServer.create({
     host: '127.0.0.1',
     port: 0,
@@ -19,7 +19,7 @@
       void Peer.create(connection, member).then(peer =>
         peer.messages.observe(message => {
           if (message.type === 'heartbeat-ask') {
-            asks.push({ask: message, peer});
+            requests.push({request: message, peer});
           }
         }),
       );
@@ -46,14 +46,14 @@
     0,
   );
   const identity = {program: 'host', id: 'h1', incarnation: 'i'} as const;
-  const asker = HeartbeatPoller.create({
+  const poller = HeartbeatPoller.create({
     group: lease.group,
     lease,
     identity,
     clock,
   });
-  const answer = ({ask, peer}: {ask: Ask; peer: Peer}) => {
-    const {groupId, epoch, nonce} = ask;
+  const answer = ({request, peer}: {request: HeartbeatRequest; peer: Peer}) => {
+    const {groupId, epoch, nonce} = request;
     peer.send({
       type: 'heartbeat-answer',
       hostId: 'h2',
@@ -64,16 +64,16 @@
     });
   };
 
-  const first = await waitUntil('the first question', () => asks[0]);
+  const first = await waitUntil('the first request', () => requests[0]);
   clock.time = 60_000;
   answer(first);
-  const later = await waitUntil('a question after the pause', () =>
-    asks.find(({ask}) => ask.nonce > first.ask.nonce),
+  const later = await waitUntil('a request after the delay', () =>
+    requests.find(({request}) => request.nonce > first.request.nonce),
   );
   expect(lease.isHeld(60_000)).toBe(false);
 
   answer(later);
   await waitUntil('a fresh answer', () => lease.isHeld(60_000));
-  asker.close();
+  poller.close();
   await server.close();
 });
--- a/test/host/suspended_host.test.ts
+++ b/test/host/suspended_host.test.ts
@@ -1,7 +1,7 @@
 /**
- * A machine may be suspended for seconds, and its steady clock does not count them.
- * A host process that was away for 5 s took work that had to start 4 s earlier: an
- * entry counts a start-by time on the host's clock, and that clock had stood still.
+ * The monotonic clock does not advance while a machine is suspended. Entries send a
+ * start-by time on the host's clock, so after a suspension of 5 s a host process
+ * accepted an attempt whose start-by time had passed 4 s earlier.
  */
 import {expect, test} from 'vitest';
 import {HostServer} from '../../src/host/host_server';
@@ -11,10 +11,10 @@
 import {suspend} from '../support/suspension';
 import {waitUntil} from '../support/wait_until';
 
-const AWAY_MS = 5_000;
+const SUSPENDED_MS = 5_000;
 const START_WITHIN_MS = 1_000;
 
-test('work that came before a suspension is late after it', async () => {
+test('refuses an attempt whose start-by time passed during a suspension', async () => {
   const host = await HostServer.create({
     hostId: 'h1',
     zone: 'z',
@@ -28,16 +28,16 @@
   });
   const identity = {program: 'entry', id: 'e1', incarnation: 'e'} as const;
   const peer = await connectPeer(`127.0.0.1:${host.port}`, identity);
-  const heard: Message[] = [];
-  void peer.messages.observe(message => heard.push(message));
+  const received: Message[] = [];
+  void peer.messages.observe(message => received.push(message));
   const find = <T extends Message['type']>(type: T) =>
-    heard.find(
+    received.find(
       (message): message is Extract<Message, {type: T}> =>
         message.type === type,
     );
   const {now, incarnation} = await waitUntil('its clock', () => find('clock'));
 
-  const wake = suspend(AWAY_MS);
+  const wake = suspend(SUSPENDED_MS);
   peer.send({
     type: 'dispatch',
     stream: 1,
--- a/test/host/suspended_member.test.ts
+++ b/test/host/suspended_member.test.ts
@@ -1,8 +1,8 @@
 /**
- * A machine may be suspended for seconds, and its steady clock does not count them.
- * The first member of a group that was away for 5 s still counted on heartbeats from
- * before, 20 ms old by its own clock, while its members had been bound for 0.7 s
- * only and might serve in another group: two groups with one host would have run.
+ * The monotonic clock does not advance while a machine is suspended. After 5 s the
+ * first member of a group still relied on heartbeats that were 20 ms old by its own
+ * clock, although they bind the other members for 0.7 s only. Those could have joined
+ * another group by then, so that two groups would have run on the same host.
  */
 import {expect, test} from 'vitest';
 import {EngineController} from '../../src/host/engine_controller';
@@ -11,9 +11,9 @@
 import {FrameServer} from '../../src/transport/frame_server';
 import {waitUntil} from '../support/wait_until';
 
-const AWAY_MS = 5_000;
+const SUSPENDED_MS = 5_000;
 
-/** A member of any group that asks. */
+/** Starts a member that confirms every heartbeat request. */
 async function startMember() {
   return FrameServer.create({
     host: '127.0.0.1',
@@ -24,8 +24,8 @@
         peer.messages.observe(message => {
           if (message.type === 'heartbeat-ask') {
             const {groupId, epoch, nonce} = message;
-            const told = {groupId, epoch, nonce, hostId: 'h2'};
-            peer.send({type: 'heartbeat-answer', ...told, isMember: true});
+            const fields = {groupId, epoch, nonce, hostId: 'h2'};
+            peer.send({type: 'heartbeat-answer', ...fields, isMember: true});
           }
         }),
       );
@@ -33,16 +33,16 @@
   });
 }
 
-test('the first member of a group that was suspended counts on no heartbeat from before', async () => {
+test('the first member does not rely on heartbeats from before its suspension', async () => {
   const server = await startMember();
-  let away = 0;
-  const orders = {setDesiredGroup: () => undefined, hasAccepted: () => true};
+  let suspendedMs = 0;
+  const engine = {setDesiredGroup: () => undefined, hasAccepted: () => true};
   const options = {
     hostId: 'h1',
     identity: {program: 'host', id: 'h1', incarnation: 'i'} as const,
     clock: {now: () => performance.now()},
-    leaseClock: {now: () => performance.now() + away},
-    engine: orders as unknown as EngineController,
+    leaseClock: {now: () => performance.now() + suspendedMs},
+    engine: engine as unknown as EngineController,
   };
   const member = GroupMember.create(options);
   member.assign({
@@ -59,9 +59,11 @@
     ],
     isDraining: false,
   });
-  await waitUntil('a whole group', () => member.isServing(performance.now()));
+  await waitUntil('a complete group', () =>
+    member.isServing(performance.now()),
+  );
 
-  away = AWAY_MS;
+  suspendedMs = SUSPENDED_MS;
   expect(member.isServing(performance.now())).toBe(false);
   expect(member.findStopReason({groupId: 'g', epoch: 1})).toContain('h2');
   await waitUntil('a new heartbeat', () => member.isServing(performance.now()));
