--- a/src/entry/host_connection.ts
+++ b/src/entry/host_connection.ts
@@ -18,7 +18,7 @@
 >;
 
 interface OpenAttempt {
-  readonly events: AttemptCallbacks;
+  readonly callbacks: AttemptCallbacks;
   nextSequence: number;
 }
 
@@ -104,18 +104,18 @@
   dispatch(
     fields: DispatchFields,
     startWithinMs: number,
-    events: AttemptCallbacks,
+    callbacks: AttemptCallbacks,
   ): () => void {
     const stream = ++this.lastStream;
     if (!this.peer.isOpen || !this.hostClock) {
       const reason = 'the host process is not connected';
-      queueMicrotask(() => events.onEnd({outcome: 'not-run', reason}));
+      queueMicrotask(() => callbacks.onEnd({outcome: 'not-run', reason}));
       return () => undefined;
     }
     const {hostMs, localMs} = this.hostClock;
     const startBy =
       hostMs + (this.options.clock.now() - localMs) + startWithinMs;
-    this.attempts.set(stream, {events, nextSequence: 0});
+    this.attempts.set(stream, {callbacks, nextSequence: 0});
     const incarnation = this.incarnation;
     this.peer.send({
       type: 'dispatch',
@@ -152,7 +152,7 @@
       this.lastReportedCount = running;
     },
     head: ({stream, status, headers}) => {
-      this.attempts.get(stream)?.events.onHead(status, headers);
+      this.attempts.get(stream)?.callbacks.onHead(status, headers);
     },
     data: message => this.receiveData(message),
     end: message => this.receiveEnd(message),
@@ -183,7 +183,7 @@
       return;
     }
     attempt.nextSequence += 1;
-    attempt.events.onData(bytes, () => {
+    attempt.callbacks.onData(bytes, () => {
       this.peer.send({type: 'credit', stream, bytes: bytes.length});
     });
   }
@@ -206,7 +206,7 @@
   ): void {
     const attempt = this.attempts.get(stream);
     this.attempts.delete(stream);
-    attempt?.events.onEnd(end);
+    attempt?.callbacks.onEnd(end);
   }
 
   private handleClosed(): void {
--- a/src/entry/host_connections.ts
+++ b/src/entry/host_connections.ts
@@ -35,7 +35,7 @@
    *
    * @example
    * const connections = HostConnections.create({identity, clock});
-   * connections.setWanted(['127.0.0.1:7100']);
+   * connections.setAddresses(['127.0.0.1:7100']);
    */
   static create(options: HostConnectionsOptions): HostConnections {
     return new HostConnections(options);
--- a/src/host/attempt_runner.ts
+++ b/src/host/attempt_runner.ts
@@ -62,7 +62,7 @@
    *
    * @example
    * const runner = AttemptRunner.create(options);
-   * runner.accept(peer);
+   * runner.acceptEntry(peer);
    */
   static create(options: AttemptRunnerOptions): AttemptRunner {
     return new AttemptRunner(options);
@@ -199,7 +199,10 @@
     });
   }
 
-  /** Lets an attempt that must run at most once continue without its entry, so that its outcome becomes known. */
+  /**
+   * Lets an attempt that must run at most once continue without its entry, so that
+   * its outcome becomes known. Stops any other attempt.
+   */
   private handleEntryDisconnect(attempt: RunningAttempt): void {
     if (this.running.get(attempt)?.isRepeatable === false) {
       attempt.addCredit(Infinity);
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -16,9 +16,9 @@
 interface GroupMemberOptions {
   readonly hostId: string;
   readonly identity: Parameters<typeof Peer.create>[1];
-  /** For what this host has promised to others: never overestimates the time that has passed. */
+  /** For promises to other hosts: never overestimates the time that has passed, so none ends early. */
   readonly clock: Clock;
-  /** For what others have promised to this host: never underestimates the time that has passed. */
+  /** For promises by other hosts: never underestimates the time that has passed, so none is relied on too long. */
   readonly leaseClock: Clock;
   readonly engine: EngineController;
   readonly security?: TransportSecurity;
@@ -110,7 +110,7 @@
     return group !== null && this.options.engine.hasAccepted(group);
   }
 
-  /** Lists the members without whose heartbeats the group must not serve. */
+  /** Lists the members whose absence keeps the group from serving. */
   listMissing(now: number): string[] {
     const leaseNow = this.options.leaseClock.now();
     const missing = this.lease?.listMissing(leaseNow) ?? [];
@@ -127,9 +127,12 @@
   }
 
   /** Finds why attempts for a group and epoch must stop; undefined while they may continue. */
-  findStopReason(work: {groupId: string; epoch: number}): string | undefined {
+  findStopReason(attempt: {
+    groupId: string;
+    epoch: number;
+  }): string | undefined {
     const {group} = this;
-    if (group?.id !== work.groupId || group.epoch !== work.epoch) {
+    if (group?.id !== attempt.groupId || group.epoch !== attempt.epoch) {
       return 'the group moved on to another epoch';
     }
     const missing = this.listMissing(this.options.clock.now());
@@ -158,7 +161,10 @@
     this.lease = undefined;
   }
 
-  /** After this process was suspended every member seems silent, and none must be reported missing for that. */
+  /**
+   * After a suspension of this process every member seems silent, and none must be
+   * reported missing for that.
+   */
   private hasResumedRecently(now: number): boolean {
     const aheadMs = this.options.leaseClock.now() - now;
     if (aheadMs - this.clockOffsetMs > HEARTBEAT_LEASE_MS) {
--- a/src/host/running_attempt.ts
+++ b/src/host/running_attempt.ts
@@ -174,6 +174,7 @@
     }
   }
 
+  /** Throws when the attempt was stopped or is no longer allowed to run. */
   private checkNotStopped(): void {
     const reason = this.options.findStopReason();
     if (reason) {
