--- a/src/entry/parse_caller_request.ts
+++ b/src/entry/parse_caller_request.ts
@@ -42,7 +42,7 @@
 /**
  * Validates a request and resolves the model or service it calls.
  *
- * @returns the request, or the problem to respond with
+ * @returns the request, or the problem to respond with; the request has not run then
  * @example
  * const parsed = parseCallerRequest({request, body, bundle, workspace, requestId, now});
  */
--- a/src/host/listen_for_announcements.ts
+++ b/src/host/listen_for_announcements.ts
@@ -7,7 +7,7 @@
 const MAX_ANNOUNCEMENT_BYTES = 16 * 1024;
 
 /** The address to listen on, and what handles the requests. */
-interface AnnounceListenerOptions {
+interface AnnouncementListenerOptions {
   readonly host: string;
   readonly port: number;
   readonly onAnnounce: (announcement: BackendAnnouncement) => void;
@@ -23,7 +23,7 @@
  * const listener = await listenForAnnouncements({host, port, onAnnounce, createStatus});
  */
 export function listenForAnnouncements(
-  options: AnnounceListenerOptions,
+  options: AnnouncementListenerOptions,
 ): Promise<HttpListener> {
   const {host, port} = options;
   return HttpListener.create({
@@ -40,7 +40,7 @@
 async function handleRequest(
   request: IncomingMessage,
   response: ServerResponse,
-  options: AnnounceListenerOptions,
+  options: AnnouncementListenerOptions,
 ): Promise<void> {
   const route = `${request.method} ${request.url}`;
   if (route === 'GET /status') {
