--- a/src/config/security_settings.ts
+++ b/src/config/common_settings.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 
 /** Settings about who may connect, shared by every daemon. */
-export const securitySettings = z.object({
+export const commonSettings = z.object({
   tlsAuthority: z
     .string()
     .optional()
--- a/src/config/create_count_setting.ts
+++ b/src/config/create_integer_setting.ts
@@ -6,7 +6,7 @@
  * @example
  * const leaseMs = createCountSetting(500, 60_000).default(5_000);
  */
-export function createCountSetting(least: number, most: number) {
+export function createIntegerSetting(least: number, most: number) {
   return z.string().transform((text, context) => {
     const value = Number(text);
     if (
--- a/src/config/load_security.ts
+++ b/src/config/load_transport_security.ts
@@ -1,7 +1,7 @@
 import {readFileSync} from 'node:fs';
 import {z} from 'zod';
 import {TransportSecurity} from '../transport/transport_security';
-import {securitySettings} from './security_settings';
+import {commonSettings} from './common_settings';
 import {UsageError} from './usage_error';
 
 /**
@@ -12,8 +12,8 @@
  * @example
  * const security = loadSecurity(settings, '127.0.0.1');
  */
-export function loadSecurity(
-  settings: z.infer<typeof securitySettings>,
+export function loadTransportSecurity(
+  settings: z.infer<typeof commonSettings>,
   listenHost: string,
 ): TransportSecurity | undefined {
   const {tlsAuthority, tlsCertificate, tlsKey, allowPlainTcp} = settings;
--- a/src/config/resolve_control_settings.ts
+++ b/src/config/resolve_control_settings.ts
@@ -1,13 +1,13 @@
 import {z} from 'zod';
 import {ControlSettings} from '../control/control_settings';
 import {addressSetting} from './address_setting';
-import {createCountSetting} from './create_count_setting';
+import {createIntegerSetting} from './create_integer_setting';
 import {loadPublicKeys} from './load_public_keys';
-import {loadSecurity} from './load_security';
+import {loadTransportSecurity} from './load_transport_security';
 import {nameSetting} from './name_setting';
 import {peersSetting} from './peers_setting';
 import {resolveSettings} from './resolve_settings';
-import {securitySettings} from './security_settings';
+import {commonSettings} from './common_settings';
 
 const DEFAULT_LEASE_MS = '5000';
 const DEFAULT_SNAPSHOT_EVERY = '4096';
@@ -27,15 +27,15 @@
     .string()
     .min(1)
     .describe('PEM files of operators’ public keys, comma-separated'),
-  leaseMs: createCountSetting(1_000, 60_000)
+  leaseMs: createIntegerSetting(1_000, 60_000)
     .prefault(DEFAULT_LEASE_MS)
     .describe(
       'how long hosts and entries work under a confirmed bundle, in milliseconds',
     ),
-  snapshotEvery: createCountSetting(16, 1_000_000)
+  snapshotEvery: createIntegerSetting(16, 1_000_000)
     .prefault(DEFAULT_SNAPSHOT_EVERY)
     .describe('log entries between snapshots'),
-  ...securitySettings.shape,
+  ...commonSettings.shape,
 });
 
 /**
@@ -69,7 +69,7 @@
     trustedKeys: loadPublicKeys(raw.operatorKeys),
     leaseMs,
     snapshotEvery,
-    security: loadSecurity(raw, listen.host),
+    security: loadTransportSecurity(raw, listen.host),
   };
   return {settings, logFormat};
 }
--- a/src/config/resolve_entry_settings.ts
+++ b/src/config/resolve_entry_settings.ts
@@ -2,10 +2,10 @@
 import {EntrySettings} from '../entry/entry_settings';
 import {addressListSetting} from './address_list_setting';
 import {addressSetting} from './address_setting';
-import {loadSecurity} from './load_security';
+import {loadTransportSecurity} from './load_transport_security';
 import {nameSetting} from './name_setting';
 import {resolveSettings} from './resolve_settings';
-import {securitySettings} from './security_settings';
+import {commonSettings} from './common_settings';
 import {stopWithinSetting} from './stop_within_setting';
 
 const LOOPBACK = '127.0.0.1';
@@ -20,7 +20,7 @@
     'addresses of the control processes, comma-separated',
   ),
   stopWithinMs: stopWithinSetting,
-  ...securitySettings.shape,
+  ...commonSettings.shape,
 });
 
 /**
@@ -52,7 +52,7 @@
     control,
     stopWithinMs,
     // An entry accepts no connections from other processes; callers come over HTTP.
-    security: loadSecurity(raw, LOOPBACK),
+    security: loadTransportSecurity(raw, LOOPBACK),
   };
   return {settings, logFormat};
 }
--- a/src/config/resolve_host_settings.ts
+++ b/src/config/resolve_host_settings.ts
@@ -2,10 +2,10 @@
 import {HostSettings} from '../host/host_settings';
 import {addressListSetting} from './address_list_setting';
 import {addressSetting} from './address_setting';
-import {loadSecurity} from './load_security';
+import {loadTransportSecurity} from './load_transport_security';
 import {nameSetting} from './name_setting';
 import {resolveSettings} from './resolve_settings';
-import {securitySettings} from './security_settings';
+import {commonSettings} from './common_settings';
 import {stopWithinSetting} from './stop_within_setting';
 
 const schema = z.object({
@@ -23,7 +23,7 @@
     'addresses of the control processes, comma-separated',
   ),
   stopWithinMs: stopWithinSetting,
-  ...securitySettings.shape,
+  ...commonSettings.shape,
 });
 
 /**
@@ -68,7 +68,7 @@
     announcePort: announceListen.port,
     control,
     stopWithinMs,
-    security: loadSecurity(raw, listen.host),
+    security: loadTransportSecurity(raw, listen.host),
   };
   return {settings, logFormat};
 }
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -8,7 +8,7 @@
 import {systemClock} from '../common/system_clock';
 import {ThrottledLines} from '../common/throttled_lines';
 import {ControlClient} from '../protocol/control_client';
-import {recordSearch} from '../reporting/record_search';
+import {recordLeaderSearch} from '../reporting/record_leader_search';
 import {HttpListener} from '../transport/http_listener';
 import {HttpOrigins} from '../transport/http_origins';
 import {readHttpBody} from '../transport/read_http_body';
@@ -94,7 +94,7 @@
       addresses: () => this.controlAddresses,
       tryTimeoutMs: CONTROL_TRY_MS,
       identity: {program: 'gateway', id: gatewayId, incarnation},
-      onSearched: search => recordSearch(lines, gatewayId, search),
+      onSearched: search => recordLeaderSearch(lines, gatewayId, search),
     });
     const tellNow = () => this.feed.tellNow();
     const source = {gatewayId, client, events, onNews: tellNow};
--- a/src/operator/add_bundle_commands.ts
+++ b/src/operator/add_bundle_commands.ts
@@ -11,7 +11,7 @@
 import {ProgramContext} from './program_context';
 import {readBundleFile} from './read_bundle_file';
 import {readPrivateKey} from './read_private_key';
-import {readSignedFile} from './read_signed_file';
+import {readSignedBundle} from './read_signed_bundle';
 
 const POLL_MS = 200;
 
@@ -59,7 +59,7 @@
     .command('show <file>')
     .description('show a signed bundle')
     .action((file: string) => {
-      const {document} = readSignedFile(file);
+      const {document} = readSignedBundle(file);
       const shown = Bundle.parse(JSON.parse(document));
       createReporter().report({
         type: 'bundle-checked',
@@ -110,7 +110,7 @@
 ): void {
   const checked = readBundleFile(file);
   const previous = options.after
-    ? computeDigest(readSignedFile(options.after).document)
+    ? computeDigest(readSignedBundle(options.after).document)
     : checked.previous;
   const signed = signBundle(
     {...checked, previous},
@@ -133,7 +133,7 @@
   reporter: OperatorReporter,
 ): Promise<void> {
   const {isAccepted, reason, version, digest, keyId} = await client.rollOut(
-    readSignedFile(file),
+    readSignedBundle(file),
   );
   reporter.report({
     type: 'rolled-out',
--- a/src/operator/add_fleet_commands.ts
+++ b/src/operator/add_fleet_commands.ts
@@ -80,7 +80,7 @@
   keyFile: string,
   reporter: OperatorReporter,
 ): Promise<void> {
-  const answer = await client.drain(
+  const answer = await client.setDraining(
     hostId,
     isDraining,
     readPrivateKey(keyFile),
--- a/src/operator/create_program.ts
+++ b/src/operator/create_program.ts
@@ -1,7 +1,7 @@
 /** The command line of `whinreel`. */
 import {Command, Option} from 'commander';
 import {addressListSetting} from '../config/address_list_setting';
-import {loadSecurity} from '../config/load_security';
+import {loadTransportSecurity} from '../config/load_transport_security';
 import {addBundleCommands} from './add_bundle_commands';
 import {addFleetCommands} from './add_fleet_commands';
 import {addKeyCommands} from './add_key_commands';
@@ -91,7 +91,7 @@
       '--control (or WHINREEL_CONTROL): expected addresses like 10.0.0.1:7000';
     throw new OperatorError({info: {kind: 'usage'}}, message);
   }
-  const security = loadSecurity(
+  const security = loadTransportSecurity(
     {...options, allowPlainTcp: 'false', logFormat: 'json'},
     LOOPBACK,
   );
--- a/src/operator/json_reporter.ts
+++ b/src/operator/json_reporter.ts
@@ -1,4 +1,4 @@
-import {OperatorEvent} from './operator_event';
+import {OperatorResult} from './operator_result';
 import {OperatorReporter} from './operator_reporter';
 
 /** Writes each event as one line of JSON. */
@@ -15,7 +15,7 @@
     return new JsonReporter(write);
   }
 
-  report(event: OperatorEvent): void {
+  report(event: OperatorResult): void {
     this.write(`${JSON.stringify(event)}\n`);
   }
 }
--- a/src/operator/operator_client.ts
+++ b/src/operator/operator_client.ts
@@ -79,7 +79,7 @@
   }
 
   /** @throws OperatorError when no leader answers */
-  async drain(hostId: string, isDraining: boolean, key: KeyObject) {
+  async setDraining(hostId: string, isDraining: boolean, key: KeyObject) {
     const time = Date.now();
     const text = describeDrainOrder(hostId, isDraining, time);
     const signature = sign(null, Buffer.from(text), key).toString('base64');
--- a/src/operator/operator_reporter.ts
+++ b/src/operator/operator_reporter.ts
@@ -1,6 +1,6 @@
-import {OperatorEvent} from './operator_event';
+import {OperatorResult} from './operator_result';
 
 /** Shows what a command has to tell. */
 export interface OperatorReporter {
-  report(event: OperatorEvent): void;
+  report(event: OperatorResult): void;
 }
--- a/src/operator/operator_event.ts
+++ b/src/operator/operator_result.ts
@@ -4,7 +4,7 @@
 import {Suspect} from '../state/suspect';
 
 /** What a command of `whinreel` has to tell; reporters turn it into text or JSON. */
-export type OperatorEvent =
+export type OperatorResult =
   | {
       readonly type: 'key-created';
       readonly keyId: string;
--- a/src/operator/read_signed_file.ts
+++ b/src/operator/read_signed_bundle.ts
@@ -9,7 +9,7 @@
  * @example
  * const signed = readSignedFile('bundle.signed.json');
  */
-export function readSignedFile(file: string): SignedBundle {
+export function readSignedBundle(file: string): SignedBundle {
   let value: unknown;
   try {
     value = JSON.parse(readFileSync(file, 'utf8'));
--- a/src/operator/text_reporter.ts
+++ b/src/operator/text_reporter.ts
@@ -2,7 +2,7 @@
 import {MessageOf} from '../protocol/message_of';
 import {JournalEntry} from '../state/journal_entry';
 import {formatTable} from './format_table';
-import {OperatorEvent} from './operator_event';
+import {OperatorResult} from './operator_result';
 import {OperatorReporter} from './operator_reporter';
 
 const DIGEST_SHOWN = 12;
@@ -21,13 +21,15 @@
     return new TextReporter(write);
   }
 
-  report(event: OperatorEvent): void {
+  report(event: OperatorResult): void {
     this.write(FORMATS[event.type](event as never));
   }
 }
 
 const FORMATS: {
-  [T in OperatorEvent['type']]: (event: MessageOf<OperatorEvent, T>) => string;
+  [T in OperatorResult['type']]: (
+    event: MessageOf<OperatorResult, T>,
+  ) => string;
 } = {
   'key-created': ({keyId, files}) =>
     `key ${keyId} written to ${files.join(' and ')}\n`,
--- a/src/reporting/record_search.ts
+++ b/src/reporting/record_leader_search.ts
@@ -13,7 +13,7 @@
  * @example
  * const client = ControlClient.create({addresses, identity, onSearched: search => recordSearch(lines, 'gateway-1', search)});
  */
-export function recordSearch(
+export function recordLeaderSearch(
   lines: ThrottledLines,
   id: string,
   {ask, tookMs, isAnswered, tries}: LeaderSearch,
--- a/test/support/test_fleet.ts
+++ b/test/support/test_fleet.ts
@@ -130,7 +130,7 @@
 
   /** Takes a host out of service as an operator would. */
   drain(hostId: string) {
-    return this.operator.drain(hostId, true, this.readOperatorKey());
+    return this.operator.setDraining(hostId, true, this.readOperatorKey());
   }
 
   /** Signs a bundle as the successor of the last one and rolls it out. */
