--- a/src/bin/run_daemon.ts
+++ b/src/bin/run_daemon.ts
@@ -1,4 +1,4 @@
-/** What every daemon's binary does around the library. */
+/** Runs a daemon as a process: startup, logging, signals and exit codes. */
 import {CommanderError} from 'commander';
 import {EventRing} from '../common/event_ring';
 import {UsageError} from '../config/usage_error';
@@ -7,64 +7,64 @@
 const EXIT_FAILURE = 1;
 const EXIT_USAGE = 2;
 
-/** A started daemon. */
+/** A running daemon. */
 interface Daemon {
   readonly events: EventRing;
-  /** Ports by name, printed once when the daemon is up. */
+  /** Ports by name, printed once when the daemon is ready. */
   readonly ports: Readonly<Record<string, number>>;
-  /** Stops without cutting off work under way. */
+  /** Shuts down gracefully, without aborting work in progress. */
   readonly stop: () => Promise<void>;
-  /** Settles when the daemon must stop by itself. */
+  /** Resolves with the error that forces the daemon to exit. */
   readonly failed?: Promise<Error>;
 }
 
-/** How a daemon is started. */
-interface DaemonStart {
+/** A daemon that is ready to start, and the format of its log. */
+interface DaemonOptions {
   readonly logFormat: 'json' | 'pretty';
   readonly start: () => Promise<Daemon>;
 }
 
 /**
- * Resolves the settings, starts the daemon, and stops it on SIGTERM or SIGINT.
- * A second signal stops at once.
+ * Resolves the settings, starts the daemon, and shuts it down gracefully on SIGTERM
+ * or SIGINT. The same signal again exits at once.
  *
  * @example
  * void runDaemon('whinreel-host', () => prepare(process.argv.slice(2), process.env));
  */
 export async function runDaemon(
   program: string,
-  prepare: () => DaemonStart,
+  prepare: () => DaemonOptions,
 ): Promise<void> {
   try {
     const {logFormat, start} = prepare();
-    // Before the start, since a signal that nobody waits for ends the process.
-    const told = waitForSignal();
+    // Registered before the start, since a signal without a handler terminates the process.
+    const stopSignal = waitForSignal();
     const daemon = await start();
     const reporter = startLogReporter({
       program,
       format: logFormat,
       events: daemon.events.stream,
-      earlier: daemon.events.listSince(0),
+      earlierEvents: daemon.events.listSince(0),
     });
     process.stdout.write(
       `${JSON.stringify({ready: program, ...daemon.ports})}\n`,
     );
-    void daemon.failed?.then(error => exitWith(program, error));
-    await stopOnSignal(program, daemon, told);
+    void daemon.failed?.then(error => exitWithError(program, error));
+    await stopOnSignal(program, daemon, stopSignal);
     await reporter.drain();
     process.exit(0);
   } catch (error) {
-    exitWith(program, error as Error);
+    exitWithError(program, error as Error);
   }
 }
 
 async function stopOnSignal(
   program: string,
   daemon: Daemon,
-  told: Promise<string>,
+  stopSignal: Promise<string>,
 ): Promise<void> {
-  const signal = await told;
-  const toldAt = performance.now();
+  const signal = await stopSignal;
+  const signalledAt = performance.now();
   const record = (type: string, reason: string, tookMs: number) =>
     daemon.events.record({
       type,
@@ -73,9 +73,13 @@
       reason,
       details: {tookMs: Math.round(tookMs)},
     });
-  record('stop-begun', `told by ${signal}`, 0);
+  record('stop-begun', `received ${signal}`, 0);
   await daemon.stop();
-  record('stop-ended', 'the process ends', performance.now() - toldAt);
+  record(
+    'stop-ended',
+    'shutdown is complete; the process exits',
+    performance.now() - signalledAt,
+  );
 }
 
 function waitForSignal(): Promise<string> {
@@ -89,7 +93,7 @@
   });
 }
 
-function exitWith(program: string, error: Error): never {
+function exitWithError(program: string, error: Error): never {
   if (error instanceof CommanderError && error.exitCode === 0) {
     process.exit(0);
   }
--- a/src/bin/whinreel.ts
+++ b/src/bin/whinreel.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operator's command. */
+/** Command-line tool for operators. */
 import {CommanderError} from 'commander';
 import {VError} from 'verror';
 import {UsageError} from '../config/usage_error';
--- a/src/bin/whinreel_host.ts
+++ b/src/bin/whinreel_host.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Starts the process beside one backend server. */
+/** Starts one host process, which runs beside one backend server. */
 import {resolveHostSettings} from '../config/resolve_host_settings';
 import {HostServer} from '../host/host_server';
 import {runDaemon} from './run_daemon';
--- a/src/config/address_list_setting.ts
+++ b/src/config/address_list_setting.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {parseAddress} from '../protocol/parse_address';
 
-/** A setting like `10.0.0.1:7000,10.0.0.2:7000`. */
+/** Schema of a comma-separated list of addresses, like `10.0.0.1:7000,10.0.0.2:7000`. */
 export const addressListSetting = z
   .string()
   .transform((text, context): readonly string[] => {
--- a/src/config/address_setting.ts
+++ b/src/config/address_setting.ts
@@ -1,7 +1,7 @@
 import {z} from 'zod';
 import {parseAddress} from '../protocol/parse_address';
 
-/** A setting like `127.0.0.1:7000`. */
+/** Schema of one address, like `127.0.0.1:7000`. */
 export const addressSetting = z.string().transform((text, context) => {
   try {
     return parseAddress(text);
--- a/src/config/common_settings.ts
+++ b/src/config/common_settings.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** Settings about who may connect, shared by every daemon. */
+/** Schema of the settings that every daemon takes: TLS files, plain TCP and log format. */
 export const commonSettings = z.object({
   tlsAuthority: z
     .string()
--- a/src/config/create_integer_setting.ts
+++ b/src/config/create_integer_setting.ts
@@ -1,21 +1,21 @@
 import {z} from 'zod';
 
 /**
- * A setting that is a whole number within bounds.
+ * Creates the schema of an integer setting; both bounds are inclusive.
  *
  * @example
- * const leaseMs = createCountSetting(500, 60_000).default(5_000);
+ * const leaseMs = createIntegerSetting(500, 60_000).prefault('5000');
  */
-export function createIntegerSetting(least: number, most: number) {
+export function createIntegerSetting(min: number, max: number) {
   return z.string().transform((text, context) => {
     const value = Number(text);
     if (
       text.trim() === '' ||
       !Number.isInteger(value) ||
-      value < least ||
-      value > most
+      value < min ||
+      value > max
     ) {
-      context.addIssue(`expected a whole number from ${least} to ${most}`);
+      context.addIssue(`expected a whole number from ${min} to ${max}`);
       return z.NEVER;
     }
     return value;
--- a/src/config/load_public_keys.ts
+++ b/src/config/load_public_keys.ts
@@ -3,10 +3,10 @@
 import {UsageError} from './usage_error';
 
 /**
- * Reads the operators' public keys.
+ * Reads the operators' Ed25519 public keys.
  *
- * @param files PEM files, separated by commas
- * @throws UsageError when a file holds no Ed25519 public key
+ * @param files PEM files, comma-separated
+ * @throws UsageError when a file cannot be read or holds no Ed25519 public key
  * @example
  * const keys = loadPublicKeys('alice.pub.pem,bob.pub.pem');
  */
--- a/src/config/load_transport_security.ts
+++ b/src/config/load_transport_security.ts
@@ -5,19 +5,21 @@
 import {UsageError} from './usage_error';
 
 /**
- * Reads the TLS files; refuses plain TCP beyond loopback unless it is allowed.
+ * Reads the TLS files. Without them, returns `undefined` for plain TCP, which must
+ * be allowed explicitly when the process listens beyond loopback.
  *
- * @param listenHost the address that other processes will connect to
- * @throws UsageError when a file is missing or plain TCP is not allowed
+ * @param listenHost the address that other processes connect to
+ * @throws UsageError when only some of the TLS files are given, when one cannot be
+ *     read, or when plain TCP is not allowed
  * @example
- * const security = loadSecurity(settings, '127.0.0.1');
+ * const security = loadTransportSecurity(settings, '127.0.0.1');
  */
 export function loadTransportSecurity(
   settings: z.infer<typeof commonSettings>,
   listenHost: string,
 ): TransportSecurity | undefined {
   const {tlsAuthority, tlsCertificate, tlsKey, allowPlainTcp} = settings;
-  const given = [tlsAuthority, tlsCertificate, tlsKey].filter(
+  const givenFiles = [tlsAuthority, tlsCertificate, tlsKey].filter(
     file => file !== undefined,
   );
   if (tlsAuthority && tlsCertificate && tlsKey) {
@@ -27,7 +29,7 @@
       key: readPem('--tls-key', tlsKey),
     };
   }
-  if (given.length > 0) {
+  if (givenFiles.length > 0) {
     throw new UsageError(
       '--tls-authority, --tls-certificate and --tls-key go together',
     );
--- a/src/config/name_setting.ts
+++ b/src/config/name_setting.ts
@@ -1,6 +1,6 @@
 import {z} from 'zod';
 
-/** A setting that names a process, zone or domain. */
+/** Schema of the name of a process, availability zone or fabric domain. */
 export const nameSetting = z
   .string()
   .regex(
--- a/src/config/peers_setting.ts
+++ b/src/config/peers_setting.ts
@@ -1,14 +1,17 @@
 import {z} from 'zod';
 import {parseAddress} from '../protocol/parse_address';
 
-/** A setting like `control-b=10.0.0.2:7000,control-c=10.0.0.3:7000`. */
+/** Schema of names with their addresses, like `control-b=10.0.0.2:7000,control-c=10.0.0.3:7000`. */
 export const peersSetting = z
   .string()
   .transform((text, context): ReadonlyMap<string, string> => {
     const peers = new Map<string, string>();
     for (const part of text.split(',').filter(piece => piece !== '')) {
-      const at = part.indexOf('=');
-      const [name, address] = [part.slice(0, at), part.slice(at + 1)];
+      const separatorIndex = part.indexOf('=');
+      const [name, address] = [
+        part.slice(0, separatorIndex),
+        part.slice(separatorIndex + 1),
+      ];
       try {
         parseAddress(address);
       } catch {
@@ -17,7 +20,7 @@
         );
         return z.NEVER;
       }
-      if (at < 1 || peers.has(name)) {
+      if (separatorIndex < 1 || peers.has(name)) {
         context.addIssue(
           'expected each name once, like control-b=10.0.0.2:7000',
         );
--- a/src/config/resolve_control_settings.ts
+++ b/src/config/resolve_control_settings.ts
@@ -10,7 +10,7 @@
 import {commonSettings} from './common_settings';
 
 const DEFAULT_LEASE_MS = '5000';
-const DEFAULT_SNAPSHOT_EVERY = '4096';
+const DEFAULT_SNAPSHOT_INTERVAL_ENTRIES = '4096';
 
 const schema = z.object({
   name: nameSetting.describe(
@@ -33,15 +33,15 @@
       'how long hosts and entries work under a confirmed bundle, in milliseconds',
     ),
   snapshotEvery: createIntegerSetting(16, 1_000_000)
-    .prefault(DEFAULT_SNAPSHOT_EVERY)
+    .prefault(DEFAULT_SNAPSHOT_INTERVAL_ENTRIES)
     .describe('log entries between snapshots'),
   ...commonSettings.shape,
 });
 
 /**
- * Resolves everything that `whinreel-control` needs.
+ * Resolves the settings of `whinreel-control` and reads the files that they name.
  *
- * @throws UsageError when a setting is wrong
+ * @throws UsageError when a setting is missing or invalid
  * @example
  * const {settings, logFormat} = resolveControlSettings(process.argv.slice(2), process.env);
  */
--- a/src/config/resolve_entry_settings.ts
+++ b/src/config/resolve_entry_settings.ts
@@ -24,9 +24,9 @@
 });
 
 /**
- * Resolves everything that `whinreel-entry` needs.
+ * Resolves the settings of `whinreel-entry` and reads the files that they name.
  *
- * @throws UsageError when a setting is wrong
+ * @throws UsageError when a setting is missing or invalid
  * @example
  * const {settings, logFormat} = resolveEntrySettings(process.argv.slice(2), process.env);
  */
@@ -51,7 +51,7 @@
     port: listen.port,
     control,
     stopWithinMs,
-    // An entry accepts no connections from other processes; callers come over HTTP.
+    // An entry accepts only HTTP connections from callers, none from other processes of the fleet.
     security: loadTransportSecurity(raw, LOOPBACK),
   };
   return {settings, logFormat};
--- a/src/config/resolve_host_settings.ts
+++ b/src/config/resolve_host_settings.ts
@@ -27,9 +27,9 @@
 });
 
 /**
- * Resolves everything that `whinreel-host` needs.
+ * Resolves the settings of `whinreel-host` and reads the files that they name.
  *
- * @throws UsageError when a setting is wrong
+ * @throws UsageError when a setting is missing or invalid
  * @example
  * const {settings, logFormat} = resolveHostSettings(process.argv.slice(2), process.env);
  */
--- a/src/config/resolve_settings.ts
+++ b/src/config/resolve_settings.ts
@@ -1,31 +1,31 @@
-/** Turns flags and environment variables into one checked object. */
+/** Turns command-line flags and environment variables into one validated object. */
 import {Command, CommanderError, Option} from 'commander';
 import {z} from 'zod';
 import {UsageError} from './usage_error';
 
-/** What to read and from where. */
-interface ResolveInput<Shape extends z.ZodRawShape> {
+/** Program whose settings are resolved, their schema and their sources. */
+interface ResolveSettingsOptions<Shape extends z.ZodRawShape> {
   readonly program: string;
   readonly summary: string;
-  /** Each key is a flag in kebab case and a variable `WHINREEL_...`. */
+  /** Each key in camel case is read from a flag in kebab case and a variable `WHINREEL_...`. */
   readonly schema: z.ZodObject<Shape>;
-  /** Arguments behind the program's name. */
+  /** Command-line arguments after the script path. */
   readonly args: readonly string[];
   readonly env: Readonly<Record<string, string | undefined>>;
 }
 
 /**
- * Resolves all settings of a program once; flags go before variables.
+ * Resolves all settings of a program. Flags take precedence over variables.
  *
- * @throws UsageError naming the flag, the value and what is expected
+ * @throws UsageError naming the flag, the variable, the value and what is expected
  * @throws CommanderError with exit code 0 after `--help`
  * @example
  * const settings = resolveSettings({program, summary, schema, args, env: process.env});
  */
 export function resolveSettings<Shape extends z.ZodRawShape>(
-  input: ResolveInput<Shape>,
+  options: ResolveSettingsOptions<Shape>,
 ): z.infer<z.ZodObject<Shape>> {
-  const {program, summary, schema, args, env} = input;
+  const {program, summary, schema, args, env} = options;
   const command = new Command(program)
     .description(summary)
     .allowExcessArguments(false);
@@ -35,14 +35,14 @@
   const raw = {...readVariables(schema, env), ...parseFlags(command, args)};
   const parsed = schema.safeParse(raw);
   if (!parsed.success) {
-    throw describeIssue(parsed.error.issues[0], raw);
+    throw createIssueError(parsed.error.issues[0], raw);
   }
   return parsed.data;
 }
 
 function createOption(key: string, field: z.ZodType): Option {
-  const description = `${field.description ?? ''} [${formatVariable(key)}]`;
-  return new Option(`--${formatFlag(key)} <value>`, description);
+  const description = `${field.description ?? ''} [${formatVariableName(key)}]`;
+  return new Option(`--${formatFlagName(key)} <value>`, description);
 }
 
 function parseFlags(
@@ -65,22 +65,22 @@
   schema: z.ZodObject,
   env: Readonly<Record<string, string | undefined>>,
 ): Record<string, string> {
-  const found: Record<string, string> = {};
+  const values: Record<string, string> = {};
   for (const key of Object.keys(schema.shape)) {
-    const value = env[formatVariable(key)];
+    const value = env[formatVariableName(key)];
     if (value !== undefined) {
-      found[key] = value;
+      values[key] = value;
     }
   }
-  return found;
+  return values;
 }
 
-function describeIssue(
+function createIssueError(
   issue: z.core.$ZodIssue,
   raw: Record<string, string>,
 ): UsageError {
   const key = String(issue.path[0]);
-  const name = `--${formatFlag(key)} (or ${formatVariable(key)})`;
+  const name = `--${formatFlagName(key)} (or ${formatVariableName(key)})`;
   const value = raw[key];
   if (value === undefined) {
     return new UsageError('%s is missing', name);
@@ -88,10 +88,10 @@
   return new UsageError('%s is "%s": %s', name, value, issue.message);
 }
 
-function formatFlag(key: string): string {
+function formatFlagName(key: string): string {
   return key.replace(/[A-Z]/g, letter => `-${letter.toLowerCase()}`);
 }
 
-function formatVariable(key: string): string {
-  return `WHINREEL_${formatFlag(key).replaceAll('-', '_').toUpperCase()}`;
+function formatVariableName(key: string): string {
+  return `WHINREEL_${formatFlagName(key).replaceAll('-', '_').toUpperCase()}`;
 }
--- a/src/config/usage_error.ts
+++ b/src/config/usage_error.ts
@@ -1,4 +1,4 @@
 import {VError} from 'verror';
 
-/** Wrong flags, variables or files: the user must change something. Exit code 2. */
+/** Invalid flags, variables or files, which the user must correct; exit code 2. */
 export class UsageError extends VError {}
--- a/src/operator/add_bundle_commands.ts
+++ b/src/operator/add_bundle_commands.ts
@@ -1,4 +1,4 @@
-/** The commands about bundles. */
+/** Subcommands of `whinreel bundle`: check, sign, compare and roll out bundles. */
 import {writeFileSync} from 'node:fs';
 import {Bundle} from '../protocol/bundle';
 import {computeDigest} from '../protocol/compute_digest';
@@ -13,10 +13,10 @@
 import {readPrivateKey} from './read_private_key';
 import {readSignedBundle} from './read_signed_bundle';
 
-const POLL_MS = 200;
+const POLL_INTERVAL_MS = 200;
 
 /**
- * Adds `bundle check`, `sign`, `show`, `diff`, `roll-out` and `history`.
+ * Adds the subcommands `bundle check`, `sign`, `show`, `diff`, `roll-out` and `history`.
  *
  * @example
  * addBundleCommands(context);
@@ -89,7 +89,7 @@
     )
     .action((file: string, options: {wait?: boolean}) =>
       withClient(client =>
-        rollOut(client, file, options.wait === true, createReporter()),
+        rollOutBundle(client, file, options.wait === true, createReporter()),
       ),
     );
   bundle
@@ -103,6 +103,7 @@
     );
 }
 
+/** Writes the signed form of a YAML bundle to `options.out`. */
 function signBundleFile(
   file: string,
   options: {key: string; out: string; after?: string},
@@ -126,7 +127,11 @@
   });
 }
 
-async function rollOut(
+/**
+ * Sends a signed bundle to control and, with `isWaiting`, polls until it is in
+ * force on all hosts and entries.
+ */
+async function rollOutBundle(
   client: OperatorClient,
   file: string,
   isWaiting: boolean,
@@ -155,6 +160,6 @@
       reporter.report({type: 'in-force', ...bundle});
       return;
     }
-    await new Promise(resolve => setTimeout(resolve, POLL_MS));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/src/operator/add_fleet_commands.ts
+++ b/src/operator/add_fleet_commands.ts
@@ -1,4 +1,4 @@
-/** The commands about the running fleet. */
+/** Commands that read and change the state of the running fleet. */
 import {Argument} from 'commander';
 import {OperatorClient} from './operator_client';
 import {OperatorError} from './operator_error';
@@ -7,11 +7,11 @@
 import {ProgramContext} from './program_context';
 import {readPrivateKey} from './read_private_key';
 
-const POLL_MS = 200;
-const SUBJECTS = ['group', 'host', 'bundle', 'control', 'request'];
+const POLL_INTERVAL_MS = 200;
+const JOURNAL_SUBJECTS = ['group', 'host', 'bundle', 'control', 'request'];
 
 /**
- * Adds `status`, `watch`, `explain`, `drain` and `undrain`.
+ * Adds the commands `status`, `watch`, `explain`, `drain` and `undrain`.
  *
  * @example
  * addFleetCommands(context);
@@ -35,7 +35,7 @@
     .option('--from <index>', 'start behind this place in the log', '0')
     .action((options: {from: string}) =>
       withClient(client =>
-        watch(
+        watchJournal(
           client,
           parseWholeNumber('--from', options.from),
           createReporter(),
@@ -44,7 +44,7 @@
     );
   program
     .command('explain')
-    .addArgument(new Argument('<subject>').choices(SUBJECTS))
+    .addArgument(new Argument('<subject>').choices(JOURNAL_SUBJECTS))
     .argument('<id>')
     .description(
       'what happened to a group, host, bundle, control process or suspected request, and why',
@@ -67,13 +67,20 @@
       .requiredOption('--key <file>', 'private key that signs the order')
       .action((hostId: string, options: {key: string}) =>
         withClient(client =>
-          drain(client, hostId, isDraining, options.key, createReporter()),
+          sendDrainOrder(
+            client,
+            hostId,
+            isDraining,
+            options.key,
+            createReporter(),
+          ),
         ),
       );
   }
 }
 
-async function drain(
+/** Signs and sends an order to drain a host, or to end its drain. */
+async function sendDrainOrder(
   client: OperatorClient,
   hostId: string,
   isDraining: boolean,
@@ -98,7 +105,8 @@
   }
 }
 
-async function watch(
+/** Polls the journal and prints new entries until the process is interrupted. */
+async function watchJournal(
   client: OperatorClient,
   from: number,
   reporter: OperatorReporter,
@@ -110,6 +118,6 @@
       after = entries[entries.length - 1].index;
       reporter.report({type: 'journal', entries});
     }
-    await new Promise(resolve => setTimeout(resolve, POLL_MS));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
   }
 }
--- a/src/operator/add_key_commands.ts
+++ b/src/operator/add_key_commands.ts
@@ -2,7 +2,7 @@
 import {ProgramContext} from './program_context';
 
 /**
- * Adds `keys create`.
+ * Adds the subcommand `keys create`.
  *
  * @example
  * addKeyCommands(context);
--- a/src/operator/add_log_commands.ts
+++ b/src/operator/add_log_commands.ts
@@ -4,7 +4,7 @@
 import {ProgramContext} from './program_context';
 
 /**
- * Adds `logs explain`.
+ * Adds the subcommand `logs explain`.
  *
  * @example
  * addLogCommands(context);
@@ -20,7 +20,7 @@
       '\nExample:\n  whinreel logs explain 9c41d07be2a35f68 entry.log control.log',
     )
     .action((id: string, files: string[]) => {
-      const text = files.map(readLog).join('\n');
+      const text = files.map(readLogFile).join('\n');
       const lines = explainRequest(text, id);
       if (lines.length === 0) {
         throw new UsageError('no line of these logs names the request %s', id);
@@ -29,7 +29,7 @@
     });
 }
 
-function readLog(file: string): string {
+function readLogFile(file: string): string {
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
--- a/src/operator/add_suspect_commands.ts
+++ b/src/operator/add_suspect_commands.ts
@@ -1,10 +1,10 @@
-/** The commands about requests under which backend servers ended. */
+/** Commands about requests that were running on backend servers when these crashed. */
 import {OperatorError} from './operator_error';
 import {ProgramContext} from './program_context';
 import {readPrivateKey} from './read_private_key';
 
 /**
- * Adds `suspects list` and `suspects lift`.
+ * Adds the subcommands `suspects list` and `suspects lift`.
  *
  * @example
  * addSuspectCommands(context);
--- a/src/operator/compare_bundles.ts
+++ b/src/operator/compare_bundles.ts
@@ -1,4 +1,4 @@
-/** One difference between two bundles. */
+/** One difference between two bundles; a missing value is shown as `-`. */
 interface BundleChange {
   readonly path: string;
   readonly before: string;
@@ -6,8 +6,8 @@
 }
 
 /**
- * Lists what differs between two values, by path. Lists of named things are
- * compared by name, so that an insertion is one change.
+ * Lists the differences between two values, by path. Arrays whose items all have
+ * a `name` are compared by name, so that an insertion shows as one change.
  *
  * @example
  * compareBundles({version: 1}, {version: 2}); // [{path: 'version', before: '1', after: '2'}]
@@ -30,24 +30,26 @@
   if (isNamedList(before) && isNamedList(after)) {
     return compareBundles(indexByName(before), indexByName(after), path);
   }
-  const [left, right] = [describeValue(before), describeValue(after)];
-  return left === right ? [] : [{path, before: left, after: right}];
+  const [beforeText, afterText] = [describeValue(before), describeValue(after)];
+  return beforeText === afterText
+    ? []
+    : [{path, before: beforeText, after: afterText}];
 }
 
-type Named = Record<string, unknown> & {name: string};
+type NamedItem = Record<string, unknown> & {name: string};
 
 function isRecord(value: unknown): value is Record<string, unknown> {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function isNamedList(value: unknown): value is Named[] {
+function isNamedList(value: unknown): value is NamedItem[] {
   return (
     Array.isArray(value) &&
     value.every(item => isRecord(item) && typeof item['name'] === 'string')
   );
 }
 
-function indexByName(list: readonly Named[]): Record<string, unknown> {
+function indexByName(list: readonly NamedItem[]): Record<string, unknown> {
   return Object.fromEntries(list.map(item => [item.name, item]));
 }
 
--- a/src/operator/create_keys.ts
+++ b/src/operator/create_keys.ts
@@ -5,23 +5,23 @@
 import {OperatorReporter} from './operator_reporter';
 
 /**
- * Writes a new pair of signing keys, `NAME.pem` and `NAME.pub.pem`. Never
- * overwrites one.
+ * Writes a new Ed25519 key pair to `NAME.pem` and `NAME.pub.pem`, without
+ * overwriting existing files.
  *
- * @throws OperatorError when a file is already there
+ * @throws OperatorError when a file exists already or cannot be written
  * @example
  * createKeys('alice', reporter);
  */
 export function createKeys(name: string, reporter: OperatorReporter): void {
   const {privateKey, publicKey} = generateKeyPairSync('ed25519');
   const files = [`${name}.pem`, `${name}.pub.pem`];
-  const texts = [
+  const pems = [
     privateKey.export({type: 'pkcs8', format: 'pem'}),
     publicKey.export({type: 'spki', format: 'pem'}),
   ];
-  files.forEach((file, at) => {
+  files.forEach((file, index) => {
     try {
-      writeFileSync(file, texts[at], {flag: 'wx', mode: 0o600});
+      writeFileSync(file, pems[index], {flag: 'wx', mode: 0o600});
     } catch (error) {
       throw new OperatorError(
         {info: {kind: 'usage'}},
--- a/src/operator/create_program.ts
+++ b/src/operator/create_program.ts
@@ -1,4 +1,4 @@
-/** The command line of `whinreel`. */
+/** Command line of `whinreel`, the operators' tool. */
 import {Command, Option} from 'commander';
 import {addressListSetting} from '../config/address_list_setting';
 import {loadTransportSecurity} from '../config/load_transport_security';
@@ -16,7 +16,7 @@
 
 const LOOPBACK = '127.0.0.1';
 
-/** Flags that every command takes. */
+/** Flags that apply to every command. */
 interface GlobalOptions {
   readonly control?: string;
   readonly json?: boolean;
@@ -26,20 +26,20 @@
   readonly tlsKey?: string;
 }
 
-/** Where the program's output goes. */
+/** Where the program writes its output. */
 interface ProgramOutput {
   readonly write: (text: string) => void;
 }
 
 /**
- * Creates the command line.
+ * Creates the command line with all commands.
  *
  * @example
  * await createProgram({write: text => process.stdout.write(text)}).parseAsync(process.argv);
  */
 export function createProgram({write}: ProgramOutput): Command {
   const program = new Command('whinreel')
-    // Commands take this over only when they are added after it.
+    // Subcommands inherit this setting only when they are added after it.
     .exitOverride()
     .description(
       'Bundles, status and explanations for the operators of a whinreel fleet.',
@@ -67,10 +67,12 @@
     program.opts<GlobalOptions>().json
       ? JsonReporter.create(write)
       : TextReporter.create(write);
-  const withClient = async (use: (client: OperatorClient) => Promise<void>) => {
+  const withClient = async (
+    action: (client: OperatorClient) => Promise<void>,
+  ) => {
     const client = connect(program.opts<GlobalOptions>());
     try {
-      await use(client);
+      await action(client);
     } finally {
       client.close();
     }
--- a/src/operator/exit_codes.ts
+++ b/src/operator/exit_codes.ts
@@ -1,12 +1,12 @@
-/** Exit codes of `whinreel` by kind of failure. */
+/** Exit codes of `whinreel`, by the kind of failure that an `OperatorError` carries. */
 export const EXIT_CODES = {
   done: 0,
-  /** Something failed that is nobody's input. */
+  /** A failure that the user's input did not cause. */
   failed: 1,
-  /** Wrong flags or files. */
+  /** Invalid flags or files. */
   usage: 2,
-  /** Control understood and refused. */
+  /** Control received the call and refused it. */
   refused: 3,
-  /** No control leader answered. */
+  /** No control leader answered in time. */
   unreachable: 4,
 } as const;
--- a/src/operator/explain_request.ts
+++ b/src/operator/explain_request.ts
@@ -1,10 +1,10 @@
-/** Finds in the logs of all processes what decided the outcome of one request. */
+/** Finds the log lines that explain the outcome of one request, across all processes. */
 
-/** What happened to a backend server this long before the request ended may explain it. */
-const LOOK_BACK_MS = 15_000;
+/** Events up to this long before the request ended may explain its outcome. */
+const LOOKBACK_MS = 15_000;
 
-/** One line that matters, in the order of time. */
-interface ExplainedLine {
+/** A log line, reduced to the fields that are shown. */
+interface LogLineSummary {
   readonly time: string;
   readonly program: string;
   readonly event: string;
@@ -12,57 +12,58 @@
   readonly reason: string;
 }
 
-type LogLine = ExplainedLine & Readonly<Record<string, unknown>>;
+type LogLine = LogLineSummary & Readonly<Record<string, unknown>>;
 
 /**
- * Picks the request's own lines, those about the backend servers that it was
- * sent to or that its reason names, those about their groups and, for a request that was sent nowhere,
- * those about groups of its model and about control.
+ * Selects, in order of time, the request's own lines, those about the backend
+ * servers that it was sent to or that its reason names, and those about their
+ * groups. For a request that was sent to no backend server, lines about the
+ * groups of its model and about control are selected too.
  *
- * @param text lines of any number of processes; what stands before the `{` of a
- *     line, such as a machine's name, is left out
+ * @param text log lines of any number of processes; a prefix before the `{` of a
+ *     line, such as a host name, is ignored
  * @example
  * const lines = explainRequest(readFileSync('entry.log', 'utf8'), '9c41d07be2a35f68');
  */
-export function explainRequest(text: string, id: string): ExplainedLine[] {
+export function explainRequest(text: string, id: string): LogLineSummary[] {
   const lines = text.split('\n').flatMap(parseLine);
-  const own = lines.filter(line => line.id === id);
-  const last = own[own.length - 1];
+  const ownLines = lines.filter(line => line.id === id);
+  const last = ownLines[ownLines.length - 1];
   if (!last) {
     return [];
   }
-  const targets = splitNames(own.map(line => line.targets));
-  const groups = findGroups(lines, targets);
+  const targets = splitNames(ownLines.map(line => line.targets));
+  const groups = findGroupNames(lines, targets);
   const model = String(last.model ?? '');
   const endedAt = Date.parse(last.time);
   const isRelated = (line: LogLine) =>
     targets.has(line.id) ||
     groups.has(line.id) ||
     (line.subject === 'host' && last.reason.includes(line.id)) ||
-    (targets.size === 0 && isAboutPlaces(line, model));
-  const isNear = (line: LogLine) => {
-    const before = endedAt - Date.parse(line.time);
-    return before >= 0 && before <= LOOK_BACK_MS;
+    (targets.size === 0 && isAboutAvailability(line, model));
+  const isRecent = (line: LogLine) => {
+    const ageMs = endedAt - Date.parse(line.time);
+    return ageMs >= 0 && ageMs <= LOOKBACK_MS;
   };
   return lines
-    .filter(line => line.id === id || (isRelated(line) && isNear(line)))
+    .filter(line => line.id === id || (isRelated(line) && isRecent(line)))
     .map(({time, program, event, id: subject, reason}) => {
       return {time, program, event, id: subject, reason};
     })
     .sort((left, right) => Date.parse(left.time) - Date.parse(right.time));
 }
 
-/** Lines that are no events, such as a start's, are passed over. */
+/** Skips lines that are not events, such as the line that a daemon prints when it is ready. */
 function parseLine(line: string): LogLine[] {
-  const at = line.indexOf('{');
-  if (at < 0) {
+  const jsonStart = line.indexOf('{');
+  if (jsonStart < 0) {
     return [];
   }
   try {
-    const value = JSON.parse(line.slice(at)) as LogLine;
+    const value = JSON.parse(line.slice(jsonStart)) as LogLine;
     return typeof value.event === 'string' ? [value] : [];
   } catch {
-    // A log that was cut off ends within a line.
+    // A truncated log ends in the middle of a line.
     return [];
   }
 }
@@ -75,14 +76,14 @@
   );
 }
 
-/** Names of the groups that these backend servers were members of. */
-function findGroups(
+/** Finds the names of all groups that one of these backend servers was a member of. */
+function findGroupNames(
   lines: readonly LogLine[],
   targets: ReadonlySet<string>,
 ): Set<string> {
-  const sets = lines.filter(line => line.event === 'set-engine-group');
+  const formations = lines.filter(line => line.event === 'set-engine-group');
   return new Set(
-    sets
+    formations
       .filter(line =>
         [...splitNames([line.members])].some(name => targets.has(name)),
       )
@@ -90,8 +91,12 @@
   );
 }
 
-/** Why nobody could take it: groups of its model, or the way to control. */
-function isAboutPlaces(line: LogLine, model: string): boolean {
+/**
+ * Tells whether a line may explain that no backend server was available: it is
+ * about a group of the model, about the connection to control, or about a role
+ * change of a control process.
+ */
+function isAboutAvailability(line: LogLine, model: string): boolean {
   const isGroup = line.event.endsWith('-engine-group');
   return (
     (isGroup && model !== '' && line.id.startsWith(model)) ||
--- a/src/operator/format_table.ts
+++ b/src/operator/format_table.ts
@@ -1,5 +1,5 @@
 /**
- * Lays out rows in columns.
+ * Formats rows as a table with left-aligned columns.
  *
  * @example
  * formatTable(['HOST', 'GROUP'], [['h1', 'assistant-1@2']]);
@@ -8,11 +8,11 @@
   header: readonly string[],
   rows: ReadonlyArray<readonly string[]>,
 ): string {
-  const all = [header, ...rows];
+  const allRows = [header, ...rows];
   const widths = header.map((_, column) =>
-    Math.max(...all.map(row => row[column].length)),
+    Math.max(...allRows.map(row => row[column].length)),
   );
-  const lines = all.map(row =>
+  const lines = allRows.map(row =>
     row
       .map((cell, column) => cell.padEnd(widths[column]))
       .join('  ')
--- a/src/operator/json_reporter.ts
+++ b/src/operator/json_reporter.ts
@@ -1,12 +1,12 @@
 import {OperatorResult} from './operator_result';
 import {OperatorReporter} from './operator_reporter';
 
-/** Writes each event as one line of JSON. */
+/** Writes each result as one line of JSON. */
 export class JsonReporter implements OperatorReporter {
   private constructor(private readonly write: (text: string) => void) {}
 
   /**
-   * Creates a reporter.
+   * Creates a reporter that passes its output to `write`.
    *
    * @example
    * const reporter = JsonReporter.create(text => process.stdout.write(text));
@@ -15,7 +15,7 @@
     return new JsonReporter(write);
   }
 
-  report(event: OperatorResult): void {
-    this.write(`${JSON.stringify(event)}\n`);
+  report(result: OperatorResult): void {
+    this.write(`${JSON.stringify(result)}\n`);
   }
 }
--- a/src/operator/operator_client.ts
+++ b/src/operator/operator_client.ts
@@ -1,4 +1,4 @@
-/** The operator's calls to control. */
+/** Calls that operators make to control. */
 import {KeyObject, randomBytes, sign} from 'node:crypto';
 import {z} from 'zod';
 import {computeKeyId} from '../protocol/compute_key_id';
@@ -14,15 +14,15 @@
 
 const ListedSuspect = Suspect.extend({name: z.string()});
 
-/** How to reach control. */
+/** How to reach control, and how long to wait for it. */
 interface OperatorClientOptions {
   readonly addresses: readonly string[];
   readonly security?: TransportSecurity;
-  /** Milliseconds for each call. */
+  /** Timeout of each call, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Asks the control leader; every call may be repeated safely. */
+/** Client of the control leader; every call is safe to repeat. */
 export class OperatorClient {
   private constructor(
     private readonly client: ControlClient,
@@ -30,7 +30,7 @@
   ) {}
 
   /**
-   * Creates a client.
+   * Creates a client with a new incarnation ID.
    *
    * @example
    * const client = OperatorClient.create({addresses: ['127.0.0.1:7000'], timeoutMs: 5000});
@@ -49,36 +49,48 @@
     );
   }
 
-  /** @throws OperatorError when no leader answers */
+  /**
+   * Asks control to put a signed bundle in force.
+   *
+   * @throws OperatorError when no leader answers
+   */
   async rollOut(bundle: SignedBundle) {
-    return this.waitFor(
+    return this.waitForAnswer(
       this.client.ask({type: 'roll-out-ask', bundle}, this.timeoutMs),
     );
   }
 
   /** @throws OperatorError when no leader answers */
   async readStatus(): Promise<FleetStatus> {
-    const answer = await this.waitFor(
+    const answer = await this.waitForAnswer(
       this.client.ask({type: 'status-ask'}, this.timeoutMs),
     );
     return FleetStatus.parse(answer.status);
   }
 
-  /** @throws OperatorError when no leader answers */
+  /**
+   * Reads the journal entries after an index, of one subject and ID if given.
+   *
+   * @throws OperatorError when no leader answers
+   */
   async readJournal(filter: {
     subject?: string;
     id?: string;
     after: number;
   }): Promise<JournalEntry[]> {
-    const ask = this.client.ask(
+    const call = this.client.ask(
       {type: 'journal-ask', ...filter},
       this.timeoutMs,
     );
-    const answer = await this.waitFor(ask);
+    const answer = await this.waitForAnswer(call);
     return answer.entries.map(entry => JournalEntry.parse(entry));
   }
 
-  /** @throws OperatorError when no leader answers */
+  /**
+   * Signs and sends an order to drain a host, or to end its drain.
+   *
+   * @throws OperatorError when no leader answers
+   */
   async setDraining(hostId: string, isDraining: boolean, key: KeyObject) {
     const time = Date.now();
     const text = describeDrainOrder(hostId, isDraining, time);
@@ -92,31 +104,40 @@
       keyId,
       signature,
     };
-    return this.waitFor(this.client.ask(order, this.timeoutMs));
+    return this.waitForAnswer(this.client.ask(order, this.timeoutMs));
   }
 
-  /** @throws OperatorError when no leader answers */
+  /**
+   * Lists the requests that were running on backend servers when these crashed.
+   *
+   * @throws OperatorError when no leader answers
+   */
   async listSuspects(): Promise<Array<z.infer<typeof ListedSuspect>>> {
-    const ask = this.client.ask({type: 'suspects-ask'}, this.timeoutMs);
-    const answer = await this.waitFor(ask);
+    const call = this.client.ask({type: 'suspects-ask'}, this.timeoutMs);
+    const answer = await this.waitForAnswer(call);
     return answer.suspects.map(suspect => ListedSuspect.parse(suspect));
   }
 
-  /** @throws OperatorError when no leader answers */
+  /**
+   * Signs and sends an order that lets a convicted request run again.
+   *
+   * @throws OperatorError when no leader answers
+   */
   async revokeVerdict(name: string, key: KeyObject) {
     const time = Date.now();
     const text = describeLiftOrder(name, time);
     const signature = sign(null, Buffer.from(text), key).toString('base64');
     const keyId = computeKeyId(key);
     const order = {type: 'lift-ask' as const, name, time, keyId, signature};
-    return this.waitFor(this.client.ask(order, this.timeoutMs));
+    return this.waitForAnswer(this.client.ask(order, this.timeoutMs));
   }
 
   close(): void {
     this.client.close();
   }
 
-  private async waitFor<T>(answer: Promise<T>): Promise<T> {
+  /** Turns the failure of a call into the error with the exit code for an unreachable control. */
+  private async waitForAnswer<T>(answer: Promise<T>): Promise<T> {
     try {
       return await answer;
     } catch (error) {
--- a/src/operator/operator_error.ts
+++ b/src/operator/operator_error.ts
@@ -1,4 +1,4 @@
 import {VError} from 'verror';
 
-/** A failure of an operator's command, with its exit code in the error's info. */
+/** A failure of a `whinreel` command; `kind` in its info selects the exit code. */
 export class OperatorError extends VError {}
--- a/src/operator/operator_reporter.ts
+++ b/src/operator/operator_reporter.ts
@@ -1,6 +1,6 @@
 import {OperatorResult} from './operator_result';
 
-/** Shows what a command has to tell. */
+/** Prints the results of a command. */
 export interface OperatorReporter {
-  report(event: OperatorResult): void;
+  report(result: OperatorResult): void;
 }
--- a/src/operator/operator_result.ts
+++ b/src/operator/operator_result.ts
@@ -3,7 +3,7 @@
 import {JournalEntry} from '../state/journal_entry';
 import {Suspect} from '../state/suspect';
 
-/** What a command of `whinreel` has to tell; reporters turn it into text or JSON. */
+/** A result of a `whinreel` command; reporters print it as text or as JSON. */
 export type OperatorResult =
   | {
       readonly type: 'key-created';
--- a/src/operator/parse_whole_number.ts
+++ b/src/operator/parse_whole_number.ts
@@ -1,7 +1,7 @@
 import {OperatorError} from './operator_error';
 
 /**
- * Reads a flag that takes a whole number from 0.
+ * Parses the value of a flag that takes a non-negative integer.
  *
  * @throws OperatorError naming the flag and the value
  * @example
--- a/src/operator/program_context.ts
+++ b/src/operator/program_context.ts
@@ -2,13 +2,13 @@
 import {OperatorClient} from './operator_client';
 import {OperatorReporter} from './operator_reporter';
 
-/** What the commands of the program share. */
+/** Dependencies that the commands of `whinreel` share. */
 export interface ProgramContext {
   readonly program: Command;
-  /** The reporter that the global flags ask for. */
+  /** Creates the reporter that the global flags select. */
   readonly createReporter: () => OperatorReporter;
-  /** Connects as the global flags say, and closes afterwards. */
+  /** Runs `action` with a client that the global flags configure, then closes the client. */
   readonly withClient: (
-    use: (client: OperatorClient) => Promise<void>,
+    action: (client: OperatorClient) => Promise<void>,
   ) => Promise<void>;
 }
--- a/src/operator/read_bundle_file.ts
+++ b/src/operator/read_bundle_file.ts
@@ -6,9 +6,9 @@
 const MAX_BUNDLE_BYTES = 1024 * 1024;
 
 /**
- * Reads and checks a bundle in YAML.
+ * Reads a bundle in YAML and validates it against the schema.
  *
- * @throws OperatorError naming the file, the place and what is expected
+ * @throws OperatorError naming the file, the path of the invalid value and what is expected
  * @example
  * const bundle = readBundleFile('bundle.yaml');
  */
--- a/src/operator/read_private_key.ts
+++ b/src/operator/read_private_key.ts
@@ -5,7 +5,7 @@
 /**
  * Reads an operator's private Ed25519 key.
  *
- * @throws OperatorError when the file holds none
+ * @throws OperatorError when the file cannot be read or holds no Ed25519 private key
  * @example
  * const key = readPrivateKey('alice.pem');
  */
--- a/src/operator/read_signed_bundle.ts
+++ b/src/operator/read_signed_bundle.ts
@@ -3,11 +3,11 @@
 import {OperatorError} from './operator_error';
 
 /**
- * Reads a signed bundle; its signature is checked by control.
+ * Reads a signed bundle. Its signature is not verified here but by control.
  *
- * @throws OperatorError when the file is no signed bundle
+ * @throws OperatorError when the file cannot be read or is not a signed bundle
  * @example
- * const signed = readSignedFile('bundle.signed.json');
+ * const signed = readSignedBundle('bundle.signed.json');
  */
 export function readSignedBundle(file: string): SignedBundle {
   let value: unknown;
--- a/src/operator/text_reporter.ts
+++ b/src/operator/text_reporter.ts
@@ -5,14 +5,14 @@
 import {OperatorResult} from './operator_result';
 import {OperatorReporter} from './operator_reporter';
 
-const DIGEST_SHOWN = 12;
+const DIGEST_PREFIX_LENGTH = 12;
 
-/** Writes events as tables and sentences. */
+/** Writes results as tables and sentences for people. */
 export class TextReporter implements OperatorReporter {
   private constructor(private readonly write: (text: string) => void) {}
 
   /**
-   * Creates a reporter.
+   * Creates a reporter that passes its output to `write`.
    *
    * @example
    * const reporter = TextReporter.create(text => process.stdout.write(text));
@@ -21,14 +21,14 @@
     return new TextReporter(write);
   }
 
-  report(event: OperatorResult): void {
-    this.write(FORMATS[event.type](event as never));
+  report(result: OperatorResult): void {
+    this.write(FORMATTERS[result.type](result as never));
   }
 }
 
-const FORMATS: {
+const FORMATTERS: {
   [T in OperatorResult['type']]: (
-    event: MessageOf<OperatorResult, T>,
+    result: MessageOf<OperatorResult, T>,
   ) => string;
 } = {
   'key-created': ({keyId, files}) =>
@@ -150,5 +150,5 @@
 }
 
 function formatDigest(digest: string): string {
-  return digest.slice(0, DIGEST_SHOWN);
+  return digest.slice(0, DIGEST_PREFIX_LENGTH);
 }
--- a/src/reporting/line_writer.ts
+++ b/src/reporting/line_writer.ts
@@ -1,23 +1,23 @@
-/** Writes lines without ever making the process wait for a reader. */
+/** Writes lines without ever blocking the process on a slow reader. */
 import {write} from 'node:fs';
 
-/** A process that ends waits this long for a reader of its last lines, in milliseconds. */
-const LAST_LINES_MS = 200;
-/** Between two looks at whether the last lines were taken, in milliseconds. */
-const LAST_LINES_CHECK_MS = 5;
-/** Lines that wait for a slow reader; beyond it new ones are counted and left out. */
-const MAX_WAITING = 2_000;
+/** How long an exiting process waits for its last lines to be read, in milliseconds. */
+const DRAIN_TIMEOUT_MS = 200;
+/** Interval of the checks whether the last lines have been read, in milliseconds. */
+const DRAIN_POLL_INTERVAL_MS = 5;
+/** Maximum queue length; lines beyond it are dropped and counted. */
+const MAX_QUEUED_LINES = 2_000;
 
-/** A bounded queue of lines in front of a file descriptor. */
+/** Writes lines to a file descriptor through a bounded queue. */
 export class LineWriter {
-  private waiting: string[] = [];
-  private dropped = 0;
+  private queue: string[] = [];
+  private droppedCount = 0;
   private isWriting = false;
 
   private constructor(private readonly descriptor: number) {}
 
   /**
-   * Creates a writer.
+   * Creates a writer with an empty queue.
    *
    * @example
    * const writer = LineWriter.create(1);
@@ -27,46 +27,47 @@
     return new LineWriter(descriptor);
   }
 
-  /** Queues one line; never blocks. */
+  /** Queues one line, or drops it when the queue is full; never blocks. */
   write(line: string): void {
-    if (this.waiting.length >= MAX_WAITING) {
-      this.dropped += 1;
+    if (this.queue.length >= MAX_QUEUED_LINES) {
+      this.droppedCount += 1;
       return;
     }
-    this.waiting.push(line);
+    this.queue.push(line);
     this.flush();
   }
 
-  /** Waits until all lines were taken, a short time at most. */
+  /** Waits until all lines have been written, up to a short timeout. */
   async drain(): Promise<void> {
-    const until = performance.now() + LAST_LINES_MS;
-    const isIdle = () => !this.isWriting && this.waiting.length === 0;
-    while (!isIdle() && performance.now() < until) {
-      await new Promise(resolve => setTimeout(resolve, LAST_LINES_CHECK_MS));
+    const deadline = performance.now() + DRAIN_TIMEOUT_MS;
+    const isIdle = () => !this.isWriting && this.queue.length === 0;
+    while (!isIdle() && performance.now() < deadline) {
+      await new Promise(resolve => setTimeout(resolve, DRAIN_POLL_INTERVAL_MS));
     }
   }
 
   private flush(): void {
-    if (this.isWriting || this.waiting.length === 0) {
+    if (this.isWriting || this.queue.length === 0) {
       return;
     }
-    if (this.dropped > 0) {
+    if (this.droppedCount > 0) {
       const event = 'log-lines-dropped';
-      this.waiting.push(JSON.stringify({event, count: this.dropped}));
-      this.dropped = 0;
+      this.queue.push(JSON.stringify({event, count: this.droppedCount}));
+      this.droppedCount = 0;
     }
     this.isWriting = true;
-    const bytes = Buffer.from(`${this.waiting.join('\n')}\n`);
-    this.waiting = [];
+    const bytes = Buffer.from(`${this.queue.join('\n')}\n`);
+    this.queue = [];
     this.writeBytes(bytes, 0);
   }
 
-  /** A reader that goes away must not end the process, so errors end the writing only. */
+  /** Ignores errors, since a closed reader must not crash the process; a full pipe is retried. */
   private writeBytes(bytes: Buffer, from: number): void {
     write(this.descriptor, bytes, from, undefined, null, (error, written) => {
       const next = from + written;
-      const isFull = (error as NodeJS.ErrnoException | null)?.code === 'EAGAIN';
-      if (isFull) {
+      const isBufferFull =
+        (error as NodeJS.ErrnoException | null)?.code === 'EAGAIN';
+      if (isBufferFull) {
         const RETRY_MS = 20;
         setTimeout(() => this.writeBytes(bytes, from), RETRY_MS).unref();
         return;
--- a/src/reporting/log_reporter.ts
+++ b/src/reporting/log_reporter.ts
@@ -1,39 +1,39 @@
-/** Writes events as structured log lines. */
+/** Writes recorded events to standard output as structured log lines. */
 import {Stream} from 'most';
 import {Logger} from 'tslog';
 import {SystemEvent} from '../common/system_event';
 import {LineWriter} from './line_writer';
 
-const STANDARD_OUTPUT = 1;
+const STDOUT_DESCRIPTOR = 1;
 
-/** What to write and how. */
+/** Events to write and their format. */
 interface LogReporterOptions {
   readonly program: string;
   readonly format: 'json' | 'pretty';
   readonly events: Stream<SystemEvent>;
-  /** What happened before there was a reporter, oldest first. */
-  readonly earlier?: readonly SystemEvent[];
+  /** Events recorded before the reporter was started, oldest first. */
+  readonly earlierEvents?: readonly SystemEvent[];
 }
 
-/** A reporter that writes. */
+/** A running reporter. */
 interface LogReporter {
-  /** Waits until the newest lines were taken, a short time at most. */
+  /** Waits until all lines have been written, up to a short timeout. */
   readonly drain: () => Promise<void>;
 }
 
 /**
- * Starts writing a line for each event: events are changes of state, so an idle
+ * Starts writing a line for each event. Events are changes of state, so an idle
  * process writes nothing.
  *
  * @example
  * const reporter = startLogReporter({program: 'whinreel-host', format: 'json', events: host.events.stream});
  */
 export function startLogReporter(options: LogReporterOptions): LogReporter {
-  const writer = LineWriter.create(STANDARD_OUTPUT);
+  const writer = LineWriter.create(STDOUT_DESCRIPTOR);
   const logger = new Logger<object>({
     name: options.program,
     type: options.format,
-    // Finding the position costs a stack trace for each line.
+    // Determining the code position would cost a stack trace for each line.
     hideLogPositionForProduction: true,
     prettyLogTemplate: '{{dateIsoStr}} {{name}} ',
     overwrite: {
@@ -50,12 +50,12 @@
       logger.info(`${type} ${subject} ${id}: ${reason}`);
     }
   };
-  options.earlier?.forEach(report);
+  options.earlierEvents?.forEach(report);
   void options.events.observe(report);
   return {drain: () => writer.drain()};
 }
 
-/** Of what the library adds, time and program are kept. */
+/** Keeps only the time and the program of the metadata that tslog adds. */
 function formatLine(line: unknown): string {
   const {_meta: meta, ...fields} = line as {
     _meta?: {date?: Date; name?: string};
--- a/src/reporting/process_metrics.ts
+++ b/src/reporting/process_metrics.ts
@@ -1,38 +1,38 @@
-/** Counters and latency histograms of one process, as text for a scraper. */
+/** Event counters and request latencies of one process, in the Prometheus text format. */
 import {Histogram, build} from 'hdr-histogram-js';
 import {Stream} from 'most';
 import {Counter, Gauge, Registry, collectDefaultMetrics} from 'prom-client';
 import {SystemEvent} from '../common/system_event';
 
-const QUANTILES = [50, 95, 99];
-/** Longer requests than this count as this long, in milliseconds. */
-const MAX_MS = 120_000;
+const PERCENTILES = [50, 95, 99];
+/** Latencies above this are recorded as this value, in milliseconds. */
+const MAX_LATENCY_MS = 120_000;
 const REQUEST_EVENT = /^request-(.+)$/;
 
-/** What the metrics are made of. */
+/** Program name for the labels, and the events to count. */
 interface ProcessMetricsOptions {
   readonly program: string;
   readonly events: Stream<SystemEvent>;
 }
 
-/** Counts every event by its type, and how long requests took by their outcome. */
+/** Counts events by type and records the latency of requests by outcome. */
 export class ProcessMetrics {
   private readonly registry = new Registry();
-  private readonly latencies = new Map<string, Histogram>();
-  private readonly counter: Counter;
-  private readonly gauge: Gauge;
+  private readonly histograms = new Map<string, Histogram>();
+  private readonly eventCounter: Counter;
+  private readonly latencyGauge: Gauge;
 
   private constructor({program, events}: ProcessMetricsOptions) {
     const registers = [this.registry];
     this.registry.setDefaultLabels({program});
     collectDefaultMetrics({register: this.registry});
-    this.counter = new Counter({
+    this.eventCounter = new Counter({
       name: 'whinreel_events_total',
       help: 'Decisions and changes of state, by type',
       labelNames: ['type'],
       registers,
     });
-    this.gauge = new Gauge({
+    this.latencyGauge = new Gauge({
       name: 'whinreel_request_milliseconds',
       help: 'Time of requests from arrival to their end, by outcome',
       labelNames: ['outcome', 'quantile'],
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Starts counting.
+   * Creates metrics that observe `events` from now on.
    *
    * @example
    * const metrics = ProcessMetrics.create({program: 'whinreel-entry', events: entry.events.stream});
@@ -51,38 +51,41 @@
     return new ProcessMetrics(options);
   }
 
-  /** The media type of the text. */
+  /** Media type of the text that `format` returns. */
   get contentType(): string {
     return this.registry.contentType;
   }
 
-  /** Everything as text. */
+  /** Formats all metrics in the Prometheus text format. */
   format(): Promise<string> {
-    this.refresh();
+    this.refreshLatencyGauge();
     return this.registry.metrics();
   }
 
   private record({type, details}: SystemEvent): void {
-    this.counter.inc({type});
+    this.eventCounter.inc({type});
     const outcome = REQUEST_EVENT.exec(type)?.[1];
     const tookMs = details?.tookMs;
     if (outcome !== undefined && typeof tookMs === 'number') {
-      this.findLatency(outcome).recordValue(Math.min(tookMs, MAX_MS));
+      this.findHistogram(outcome).recordValue(Math.min(tookMs, MAX_LATENCY_MS));
     }
   }
 
-  private findLatency(outcome: string): Histogram {
-    const known = this.latencies.get(outcome);
-    const histogram = known ?? build({highestTrackableValue: MAX_MS});
-    this.latencies.set(outcome, histogram);
+  private findHistogram(outcome: string): Histogram {
+    const known = this.histograms.get(outcome);
+    const histogram = known ?? build({highestTrackableValue: MAX_LATENCY_MS});
+    this.histograms.set(outcome, histogram);
     return histogram;
   }
 
-  private refresh(): void {
-    for (const [outcome, histogram] of this.latencies) {
-      for (const quantile of QUANTILES) {
-        const value = histogram.getValueAtPercentile(quantile);
-        this.gauge.set({outcome, quantile: String(quantile / 100)}, value);
+  private refreshLatencyGauge(): void {
+    for (const [outcome, histogram] of this.histograms) {
+      for (const percentile of PERCENTILES) {
+        const value = histogram.getValueAtPercentile(percentile);
+        this.latencyGauge.set(
+          {outcome, quantile: String(percentile / 100)},
+          value,
+        );
       }
     }
   }
--- a/src/reporting/record_leader_search.ts
+++ b/src/reporting/record_leader_search.ts
@@ -6,12 +6,13 @@
 >[0];
 
 /**
- * Writes a line about a call for which the leader had to be searched for, or that
- * found none: who was tried last, how long for, and what each said.
+ * Records a call to control that had to search for the leader, or that found none:
+ * which addresses were tried last, how long each took, and with what outcome.
  *
- * @param id the process that asked
+ * @param lines limits the number of recorded events
+ * @param id the process that made the call
  * @example
- * const client = ControlClient.create({addresses, identity, onSearched: search => recordSearch(lines, 'gateway-1', search)});
+ * const client = ControlClient.create({addresses, identity, onSearched: search => recordLeaderSearch(lines, 'gateway-1', search)});
  */
 export function recordLeaderSearch(
   lines: ThrottledLines,
@@ -23,8 +24,8 @@
     subject: 'control',
     id,
     reason: isAnswered
-      ? 'the leader was searched for'
-      : 'no control process answered as leader in time',
+      ? 'found the control leader after a search'
+      : 'no control process answered as the leader before the timeout',
     details: {
       ask,
       tookMs,
--- a/test/config/settings.test.ts
+++ b/test/config/settings.test.ts
@@ -7,7 +7,7 @@
 const CONTROL = ['--control', '127.0.0.1:7000,127.0.0.1:7001'];
 
 describe('settings', () => {
-  test('come from flags and from variables, and flags go first', () => {
+  test('are read from flags and environment variables, and flags take precedence', () => {
     const env = {
       WHINREEL_ZONE: 'from-variable',
       WHINREEL_ENTRY_ID: 'from-variable',
@@ -48,9 +48,12 @@
       [...ENTRY, ...CONTROL, '--tls-key', 'k.pem'],
       '--tls-authority, --tls-certificate and --tls-key go together',
     ],
-  ])('wrong ones are named in one line (%#)', (args, message) => {
-    expect(() => resolveEntrySettings(args, {})).toThrow(message);
-  });
+  ])(
+    'an invalid or missing setting is reported with its flag (%#)',
+    (args, message) => {
+      expect(() => resolveEntrySettings(args, {})).toThrow(message);
+    },
+  );
 
   test('plain TCP beyond loopback needs an explicit flag', () => {
     const args = [
@@ -76,7 +79,7 @@
     ).toBe('10.0.0.5');
   });
 
-  test('a peer that is named twice is refused', () => {
+  test('duplicate peer names are rejected', () => {
     const args = [
       ...[
         '--name',
--- a/test/operator/command_line.test.ts
+++ b/test/operator/command_line.test.ts
@@ -31,7 +31,7 @@
   await run(['keys', 'create', 'alice']);
 });
 
-test('keys are never overwritten', async () => {
+test('existing key files are never overwritten', async () => {
   const before = readFileSync(path.join(folder, 'alice.pem'), 'utf8');
   const again = await run(['keys', 'create', 'alice']);
 
@@ -74,7 +74,7 @@
     /^whinreel: wrong\.yaml: (workspaces|bundle): /,
   ],
 ])(
-  'a wrong bundle gets one line and exit code 2 (%#)',
+  'an invalid bundle is reported in one line, with exit code 2 (%#)',
   async (text, message) => {
     writeFileSync(path.join(folder, 'wrong.yaml'), text);
     const result = await run(['bundle', 'check', 'wrong.yaml']);
@@ -85,7 +85,7 @@
   },
 );
 
-test('a truncated signed file and a missing one get one line and exit code 2', async () => {
+test('a truncated or missing signed bundle is reported in one line, with exit code 2', async () => {
   writeFileSync(path.join(folder, 'cut.json'), '{"document": "');
   for (const file of ['cut.json', 'nothing.json']) {
     const result = await run([
@@ -101,7 +101,7 @@
   }
 });
 
-test('an unreachable control has an exit code of its own', async () => {
+test('an unreachable control is reported with exit code 4', async () => {
   const result = await run([
     '--control',
     '127.0.0.1:1',
@@ -114,7 +114,7 @@
   expect(result.stderr).toMatch(/^whinreel: control is not reachable/);
 });
 
-test('wrong settings of a daemon get one line that names the flag, and exit code 2', async () => {
+test('an invalid setting of a daemon is reported in one line that names the flag, with exit code 2', async () => {
   const args = [
     '--entry-id',
     'e',
@@ -134,7 +134,7 @@
   );
 });
 
-test('--help of every program ends with exit code 0', async () => {
+test('--help of every program exits with code 0', async () => {
   for (const bin of [
     'whinreel.js',
     'whinreel_entry.js',
@@ -159,7 +159,7 @@
     "error: command-argument value 'weather' is invalid",
   ],
 ])(
-  'wrong input to a command is named, with exit code 2 (%#)',
+  'an invalid argument of a command is reported, with exit code 2 (%#)',
   async (args, message) => {
     const result = await run(['--control', '127.0.0.1:1', ...args]);
 
--- a/test/operator/explain_request.test.ts
+++ b/test/operator/explain_request.test.ts
@@ -1,29 +1,29 @@
 import {expect, test} from 'vitest';
 import {explainRequest} from '../../src/operator/explain_request';
 
-/** A line of a log, `at` seconds into the minute. */
-function line(
-  at: number,
+/** Creates a log line with a time `seconds` into the minute and a host name as its prefix. */
+function createLine(
+  seconds: number,
   event: string,
   id: string,
   details: Record<string, unknown> = {},
 ): string {
-  const time = new Date(Date.UTC(2026, 0, 1, 0, 0, at)).toISOString();
+  const time = new Date(Date.UTC(2026, 0, 1, 0, 0, seconds)).toISOString();
   const program = 'p';
   const reason = 'r';
   return `m1 ${JSON.stringify({time, program, event, id, reason, ...details})}`;
 }
 
 const LOG = [
-  line(1, 'set-engine-group', 'big-1', {members: 'a b'}),
-  line(2, 'set-engine-group', 'low-1', {members: 'c d'}),
-  line(20, 'end-engine-group', 'big-1'),
-  line(21, 'backend-lost', 'b'),
-  line(22, 'end-engine-group', 'low-1'),
-  line(23, 'control-lost', 'e1'),
-  line(24, 'request-failed', 'q1', {targets: 'a', model: 'big'}),
-  line(25, 'request-refused', 'q2', {targets: '', model: 'low'}),
-  line(30, 'end-engine-group', 'big-1'),
+  createLine(1, 'set-engine-group', 'big-1', {members: 'a b'}),
+  createLine(2, 'set-engine-group', 'low-1', {members: 'c d'}),
+  createLine(20, 'end-engine-group', 'big-1'),
+  createLine(21, 'backend-lost', 'b'),
+  createLine(22, 'end-engine-group', 'low-1'),
+  createLine(23, 'control-lost', 'e1'),
+  createLine(24, 'request-failed', 'q1', {targets: 'a', model: 'big'}),
+  createLine(25, 'request-refused', 'q2', {targets: '', model: 'low'}),
+  createLine(30, 'end-engine-group', 'big-1'),
   'm1 {"ready":"whinreel-entry"}',
   'm1 {"event":"cut of',
 ].join('\n');
@@ -34,14 +34,14 @@
   );
 }
 
-test('a request that was sent is explained by what befell its group before', () => {
+test('a request that was sent is explained by earlier events of its group', () => {
   expect(describeLines('q1')).toEqual([
     'end-engine-group big-1',
     'request-failed q1',
   ]);
 });
 
-test('a request that was sent nowhere is explained by groups of its model and control', () => {
+test('a request that was sent to no backend server is explained by events of control and of the groups of its model', () => {
   expect(describeLines('q2')).toEqual([
     'end-engine-group low-1',
     'control-lost e1',
@@ -49,6 +49,6 @@
   ]);
 });
 
-test('a request that nobody logged has no explanation', () => {
+test('a request that no log line names has no explanation', () => {
   expect(describeLines('q3')).toEqual([]);
 });
--- a/test/operator/suspects.test.ts
+++ b/test/operator/suspects.test.ts
@@ -10,17 +10,17 @@
 import {reservePort} from '../support/reserve_port';
 import {waitUntil} from '../support/wait_until';
 
-const NAME = '0123456789abcdef';
-const ASK_MS = 10_000;
-const closers: Array<() => unknown> = [];
+const REQUEST_NAME = '0123456789abcdef';
+const CALL_TIMEOUT_MS = 10_000;
+const cleanups: Array<() => unknown> = [];
 
 afterEach(async () => {
-  for (const close of closers.splice(0).reverse()) {
-    await close();
+  for (const cleanUp of cleanups.splice(0).reverse()) {
+    await cleanUp();
   }
 });
 
-/** One control process that has convicted a request. */
+/** Starts one control process that has convicted a request after three crashes. */
 async function start() {
   const {privateKey, publicKey} = generateKeyPairSync('ed25519');
   const address = `127.0.0.1:${await reservePort()}`;
@@ -35,38 +35,38 @@
     leaseMs: 5_000,
     seeded: {seeds: [address], isFirstStart: true, voters: 1, minCopies: 1},
   });
-  closers.push(() => control.close());
+  cleanups.push(() => control.close());
   await waitUntil('a leader', () => control.isLeading);
   const gateway = ControlClient.create({
     addresses: [address],
     identity: {program: 'gateway', id: 'g', incarnation: 'i'},
   });
-  closers.push(() => gateway.close());
-  const end = (incarnation: string) => {
-    return {incarnation, notBegun: [NAME], begun: []};
+  cleanups.push(() => gateway.close());
+  const createCrash = (incarnation: string) => {
+    return {incarnation, notBegun: [REQUEST_NAME], begun: []};
   };
   await gateway.ask<'ends-ask'>(
     {
       type: 'ends-ask',
       gatewayId: 'g',
-      crashes: ['i1', 'i2', 'i3'].map(end),
+      crashes: ['i1', 'i2', 'i3'].map(createCrash),
       released: [],
       cleared: [],
     },
-    ASK_MS,
+    CALL_TIMEOUT_MS,
   );
   const operator = OperatorClient.create({
     addresses: [address],
-    timeoutMs: ASK_MS,
+    timeoutMs: CALL_TIMEOUT_MS,
   });
-  closers.push(() => operator.close());
+  cleanups.push(() => operator.close());
   return {operator, privateKey};
 }
 
-test('an operator sees what is held against a request, and why', async () => {
+test('an operator can list suspect requests and read why they are suspected', async () => {
   const {operator} = await start();
   const suspects = await operator.listSuspects();
-  expect(suspects).toMatchObject([{name: NAME, standing: 'convicted'}]);
+  expect(suspects).toMatchObject([{name: REQUEST_NAME, standing: 'convicted'}]);
 
   const lines: string[] = [];
   TextReporter.create(text => lines.push(text)).report({
@@ -78,25 +78,27 @@
   );
   const journal = await operator.readJournal({
     subject: 'request',
-    id: NAME,
+    id: REQUEST_NAME,
     after: 0,
   });
   expect(journal).toMatchObject([{type: 'request-convicted'}]);
 });
 
-test('an operator lets it run again with a key that is trusted, and with no other', async () => {
+test('a verdict is revoked with a trusted key only', async () => {
   const {operator, privateKey} = await start();
-  const stranger = generateKeyPairSync('ed25519').privateKey;
-  expect(await operator.revokeVerdict(NAME, stranger)).toMatchObject({
+  const untrustedKey = generateKeyPairSync('ed25519').privateKey;
+  expect(
+    await operator.revokeVerdict(REQUEST_NAME, untrustedKey),
+  ).toMatchObject({
     isAccepted: false,
   });
   expect(await operator.listSuspects()).toHaveLength(1);
 
-  expect(await operator.revokeVerdict(NAME, privateKey)).toMatchObject({
+  expect(await operator.revokeVerdict(REQUEST_NAME, privateKey)).toMatchObject({
     isAccepted: true,
   });
   expect(await operator.listSuspects()).toEqual([]);
-  expect(await operator.revokeVerdict(NAME, privateKey)).toMatchObject({
+  expect(await operator.revokeVerdict(REQUEST_NAME, privateKey)).toMatchObject({
     isAccepted: false,
     reason: 'no such verdict',
   });
--- a/test/reporting/process_metrics.test.ts
+++ b/test/reporting/process_metrics.test.ts
@@ -2,7 +2,7 @@
 import {EventRing} from '../../src/common/event_ring';
 import {ProcessMetrics} from '../../src/reporting/process_metrics';
 
-test('events are counted by type, and requests by how long they took', async () => {
+test('events are counted by type, and request latencies are recorded by outcome', async () => {
   const events = EventRing.create();
   const metrics = ProcessMetrics.create({
     program: 'whinreel-entry',
