--- a/src/operator/create_program.ts
+++ b/src/operator/create_program.ts
@@ -93,6 +93,7 @@
       '--control (or WHINREEL_CONTROL): expected addresses like 10.0.0.1:7000';
     throw new OperatorError({info: {kind: 'usage'}}, message);
   }
+  // The tool accepts no connections; the loopback address lets it use plain TCP without TLS files.
   const security = loadTransportSecurity(
     {...options, allowPlainTcp: 'false', logFormat: 'json'},
     LOOPBACK,
--- a/src/operator/operator_client.ts
+++ b/src/operator/operator_client.ts
@@ -12,6 +12,7 @@
 import {TransportSecurity} from '../transport/transport_security';
 import {OperatorError} from './operator_error';
 
+/** A suspect request with its name, as control lists it. */
 const ListedSuspect = Suspect.extend({name: z.string()});
 
 /** How to reach control, and how long to wait for it. */
--- a/src/operator/operator_result.ts
+++ b/src/operator/operator_result.ts
@@ -41,6 +41,7 @@
   | {
       readonly type: 'in-force';
       readonly version: number;
+      /** Number of hosts and entries that reported this version, of all that report. */
       readonly inForce: number;
       readonly of: number;
     }
--- a/src/operator/text_reporter.ts
+++ b/src/operator/text_reporter.ts
@@ -26,6 +26,7 @@
   }
 }
 
+/** Formats each type of result. */
 const FORMATTERS: {
   [T in OperatorResult['type']]: (
     result: MessageOf<OperatorResult, T>,
--- a/src/reporting/process_metrics.ts
+++ b/src/reporting/process_metrics.ts
@@ -7,6 +7,7 @@
 const PERCENTILES = [50, 95, 99];
 /** Latencies above this are recorded as this value, in milliseconds. */
 const MAX_LATENCY_MS = 120_000;
+/** Matches the event that ends a request; the group is its outcome. */
 const REQUEST_EVENT = /^request-(.+)$/;
 
 /** Program name for the labels, and the events to count. */
