--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -1,4 +1,4 @@
-/** The two simple ways to repair that the planner has to beat. */
+/** Two simple repair policies against which the planner is scored. */
 import {createMember} from '../src/coordination/groups/create_member';
 import {FreeHosts} from '../src/coordination/groups/free_hosts';
 import {GroupAction} from '../src/coordination/groups/group_action';
@@ -8,23 +8,27 @@
 import {PlanContext} from '../src/coordination/groups/plan_context';
 import {planFormation} from '../src/coordination/groups/plan_formation';
 import {Group} from '../src/protocol/group';
-import {RepairPolicy} from './virtual_fleet';
+import {RepairPolicy} from './fleet_simulator';
 
 type Member = Group['members'][number];
-type Repair = (
+type RepairFunction = (
   group: Group,
   lost: readonly Member[],
   context: PlanContext,
 ) => GroupAction | undefined;
 
-/** Replaces a lost member by any spare at once; without one, moves to another domain. */
+/**
+ * `any spare at once` replaces a lost member immediately, and moves the group to
+ * another domain when its own has no spare. `wait for return` replaces a lost
+ * member only once its host reports again.
+ */
 export const baselinePolicies: Readonly<
   Record<'any spare at once' | 'wait for return', RepairPolicy>
 > = {
   'any spare at once': createPolicy((group, lost, context) => {
-    const repaired = replace(group, lost, context);
-    if (repaired) {
-      return repaired;
+    const replacement = replaceMembers(group, lost, context);
+    if (replacement) {
+      return replacement;
     }
     const canMove = context.free
       .listDomains()
@@ -39,27 +43,27 @@
       : undefined;
   }),
   'wait for return': createPolicy((group, lost, context) => {
-    const isBack = lost.every(member => {
+    const hasReturned = lost.every(member => {
       const host = context.hosts.get(member.hostId);
       return host !== undefined && hostLoss.isHeard(host, context.input.now);
     });
-    return isBack ? replace(group, lost, context) : undefined;
+    return hasReturned ? replaceMembers(group, lost, context) : undefined;
   }),
 };
 
-function replace(
+function replaceMembers(
   group: Group,
   lost: readonly Member[],
   context: PlanContext,
 ): GroupAction | undefined {
   const spares = context.free.take({...group, groupId: group.id}, lost.length);
-  const kept = group.members.filter(member => !lost.includes(member));
-  const members = [...kept, ...(spares ?? []).map(createMember)];
+  const survivors = group.members.filter(member => !lost.includes(member));
+  const members = [...survivors, ...(spares ?? []).map(createMember)];
   const next = {...group, epoch: group.epoch + 1, members};
   return spares && {type: 'set-group', group: next, reason: 'replaced'};
 }
 
-function createPolicy(repair: Repair): RepairPolicy {
+function createPolicy(repair: RepairFunction): RepairPolicy {
   const plan = (input: GroupPlanInput) => {
     const hosts = new Map(input.hosts.map(host => [host.report.hostId, host]));
     const demands = listDemands(input.bundle);
--- a/bench/virtual_fleet.ts
+++ b/bench/fleet_simulator.ts
@@ -1,8 +1,8 @@
 /**
- * Hosts and groups under a virtual clock, driven by a script of failures: what
- * the repair decisions are scored on. It knows no network, processes or
- * requests; control sees reports, and groups serve when every member is up and
- * has loaded.
+ * Simulates hosts and groups with a virtual clock and a scenario of failures, to
+ * score repair policies. Network, processes and requests are not modelled: control
+ * sees host reports, and a group serves when all its members are up and have loaded
+ * their weights.
  */
 import {GroupAction} from '../src/coordination/groups/group_action';
 import {GroupPlanInput} from '../src/coordination/groups/group_plan_input';
@@ -13,71 +13,71 @@
 import {GroupTable} from '../src/state/group_table';
 import {Fleet} from '../src/control/fleet';
 
-const STEP_MS = 100;
-const REPORT_MS = 300;
+const TICK_MS = 100;
+const REPORT_INTERVAL_MS = 300;
 const MS_PER_SECOND = 1_000;
-const ACCELERATORS = 8;
-/** A group that only changed its epoch starts over without loading. */
-const RESTART_MS = 1_000;
+const ACCELERATORS_PER_HOST = 8;
+/** Time that a new epoch takes to start when all its members hold the weights. */
+const GROUP_RESTART_MS = 1_000;
 
-/** One change of the world. */
-interface ScriptEvent {
-  /** Milliseconds from the start. */
+/** One failure or recovery of a host. */
+interface FailureEvent {
+  /** Milliseconds since the start of the scenario. */
   readonly at: number;
   readonly host: string;
-  /** `pause` and `cut` come back as they were; `crash` comes back empty. */
-  readonly what: 'pause' | 'crash' | 'back';
+  /** After `pause` a host keeps its state; after `crash` it has a new incarnation and no weights. */
+  readonly type: 'pause' | 'crash' | 'back';
 }
 
-/** A sequence of failures. */
-export interface FailureScript {
+/** A named sequence of failures. */
+export interface FailureScenario {
   readonly name: string;
-  readonly events: readonly ScriptEvent[];
+  readonly events: readonly FailureEvent[];
 }
 
-/** The two measures of the brief, and their weighted sum. */
+/** The two measures of repair quality, and their weighted sum. */
 export interface RepairScore {
-  /** Group-seconds that a wanted group did not serve. */
+  /** Seconds without service, summed over the groups that the bundle asks for. */
   readonly downSeconds: number;
-  /** Accelerator-seconds of healthy accelerators outside serving groups. */
+  /** Seconds of healthy accelerators outside serving groups, summed over accelerators. */
   readonly strandedSeconds: number;
   readonly cost: number;
 }
 
-/** What decides on groups, and what free hosts load in advance. */
+/** Plans the groups, and which model each free host preloads. */
 export interface RepairPolicy {
   readonly plan: (input: GroupPlanInput) => GroupAction[];
   readonly planStandby?: (input: GroupPlanInput) => Map<string, string>;
 }
 
-interface VirtualHost {
+interface SimulatedHost {
   readonly hostId: string;
   readonly domain: string;
   isUp: boolean;
   incarnation: number;
-  /** Weights that the engine holds, and when it will hold them. */
+  /** Model whose weights the engine holds or loads; it holds them from `loadedAt` on. */
   loaded: string;
   loadedAt: number;
 }
 
-/** A fleet of `domains` with `hosts` each. */
-interface VirtualFleetOptions {
+/** The size of the simulated fleet, its bundle and the policy under test. */
+interface FleetSimulatorOptions {
   readonly bundle: Bundle;
   readonly domains: number;
   readonly hostsPerDomain: number;
   readonly policy: RepairPolicy;
 }
 
-/** Plays one script under one policy. */
-export class VirtualFleet {
+/** Runs one failure scenario under one repair policy. */
+export class FleetSimulator {
   private now = 0;
-  private readonly hosts = new Map<string, VirtualHost>();
+  private readonly hosts = new Map<string, SimulatedHost>();
   private readonly table = GroupTable.create();
   private readonly fleet = Fleet.create();
-  private readonly readyAt = new Map<string, number>();
-  private loadsUntil: number[] = [];
+  private readonly groupReadyAt = new Map<string, number>();
+  private loadEndTimes: number[] = [];
 
-  private constructor(private readonly options: VirtualFleetOptions) {
+  private constructor(private readonly options: FleetSimulatorOptions) {
     for (let domain = 0; domain < options.domains; domain += 1) {
       for (let at = 0; at < options.hostsPerDomain; at += 1) {
         const hostId = `d${domain}h${at}`;
@@ -93,49 +93,56 @@
     }
   }
 
-  /** Runs a script for a time and scores it. */
-  static play(
-    options: VirtualFleetOptions,
-    script: FailureScript,
+  /** Simulates a scenario for `totalMs` and returns its score. */
+  static run(
+    options: FleetSimulatorOptions,
+    scenario: FailureScenario,
     totalMs: number,
   ): RepairScore {
-    const fleet = new VirtualFleet(options);
-    fleet.form();
+    const simulator = new FleetSimulator(options);
+    simulator.advanceToSteadyState();
     let downMs = 0;
     let strandedMs = 0;
-    for (let time = 0; time < totalMs; time += STEP_MS) {
-      script.events
+    for (let time = 0; time < totalMs; time += TICK_MS) {
+      scenario.events
         .filter(event => event.at === time)
-        .forEach(event => fleet.happen(event));
-      fleet.step();
-      downMs += fleet.countDown() * STEP_MS;
-      strandedMs += fleet.countStranded() * STEP_MS;
+        .forEach(event => simulator.applyEvent(event));
+      simulator.advance();
+      downMs += simulator.countMissingGroups() * TICK_MS;
+      strandedMs += simulator.countStrandedAccelerators() * TICK_MS;
     }
-    return fleet.score(downMs / MS_PER_SECOND, strandedMs / MS_PER_SECOND);
+    return simulator.computeScore(
+      downMs / MS_PER_SECOND,
+      strandedMs / MS_PER_SECOND,
+    );
   }
 
-  /** Starts with every wanted group formed and loaded. */
-  private form(): void {
+  /** Forms all groups that the bundle asks for and marks their weights as loaded. */
+  private advanceToSteadyState(): void {
     for (let round = 0; round < 20; round += 1) {
-      this.step();
+      this.advance();
     }
-    this.readyAt.clear();
-    this.loadsUntil = [];
-    // The fleet has been up for long: whatever was loading has loaded.
+    this.groupReadyAt.clear();
+    this.loadEndTimes = [];
+    // The scenario starts on a fleet whose loads have all finished.
     this.hosts.forEach(host => (host.loadedAt = 0));
   }
 
-  private score(downSeconds: number, strandedSeconds: number): RepairScore {
+  private computeScore(
+    downSeconds: number,
+    strandedSeconds: number,
+  ): RepairScore {
     const {weights, models} = this.options.bundle;
-    const perGroup = models[0].hostsPerReplica * ACCELERATORS;
+    const acceleratorsPerGroup =
+      models[0].hostsPerReplica * ACCELERATORS_PER_HOST;
     const cost =
-      weights.groupDowntime * downSeconds * perGroup +
+      weights.groupDowntime * downSeconds * acceleratorsPerGroup +
       weights.strandedAccelerators * strandedSeconds;
     return {downSeconds, strandedSeconds, cost};
   }
 
-  private happen({host: hostId, what}: ScriptEvent): void {
-    const host = this.get(hostId);
+  private applyEvent({host: hostId, type: what}: FailureEvent): void {
+    const host = this.getHost(hostId);
     if (what === 'back') {
       host.isUp = true;
       return;
@@ -147,18 +154,19 @@
     }
   }
 
-  private step(): void {
-    this.now += STEP_MS;
-    if (this.now % REPORT_MS === 0) {
+  private advance(): void {
+    this.now += TICK_MS;
+    if (this.now % REPORT_INTERVAL_MS === 0) {
       this.hosts.forEach(
-        host => host.isUp && this.fleet.recordHost(this.report(host), this.now),
+        host =>
+          host.isUp && this.fleet.recordHost(this.createReport(host), this.now),
       );
     }
     const {plan, planStandby} = this.options.policy;
     const input = {
       bundle: this.options.bundle,
       groups: this.table.list(),
-      hosts: this.listViews(),
+      hosts: this.listHostViews(),
       findEpoch: (groupId: string) => this.table.findEpoch(groupId),
       now: this.now,
     };
@@ -166,11 +174,11 @@
     plan(input).forEach(action => this.apply(action));
   }
 
-  private listViews(): HostView[] {
+  private listHostViews(): HostView[] {
     return this.fleet.listHosts(this.now, () => false);
   }
 
-  private report(host: VirtualHost): HostReport {
+  private createReport(host: SimulatedHost): HostReport {
     const {hostId, domain} = host;
     const incarnation = String(host.incarnation);
     const group = this.table.findByHost(hostId);
@@ -185,7 +193,7 @@
       backend: {
         kind: 'model',
         name: host.loadedAt <= this.now ? host.loaded || 'none' : 'loading',
-        accelerators: ACCELERATORS,
+        accelerators: ACCELERATORS_PER_HOST,
       },
       isLeaving: false,
       assignment: isMember ? {groupId: group.id, epoch: group.epoch} : null,
@@ -202,7 +210,7 @@
     if (action.type === 'set-group') {
       const {group} = action;
       if (this.table.set(group).isAccepted) {
-        this.readyAt.set(group.id, this.now + RESTART_MS);
+        this.groupReadyAt.set(group.id, this.now + GROUP_RESTART_MS);
         group.members.forEach(member => this.load(member.hostId, group.name));
       }
     } else if (action.type === 'remove-group') {
@@ -212,37 +220,40 @@
     }
   }
 
-  /** Loads weights through the store's limited number of places. */
+  /** Loads weights; the weight store serves `concurrentLoads` at once and queues the rest. */
   private load(hostId: string, model: string): void {
-    const host = this.get(hostId);
+    const host = this.getHost(hostId);
     if (!host.isUp || host.loaded === model) {
       return;
     }
     const {weightStore, models} = this.options.bundle;
     const seconds =
       models.find(known => known.name === model)?.loadSeconds ?? 0;
-    this.loadsUntil = this.loadsUntil
-      .filter(until => until > this.now)
+    this.loadEndTimes = this.loadEndTimes
+      .filter(endTime => endTime > this.now)
       .sort((a, b) => a - b);
-    const isFull = this.loadsUntil.length >= weightStore.concurrentLoads;
-    const start = isFull
-      ? this.loadsUntil[this.loadsUntil.length - weightStore.concurrentLoads]
+    const isSaturated = this.loadEndTimes.length >= weightStore.concurrentLoads;
+    const start = isSaturated
+      ? this.loadEndTimes[
+          this.loadEndTimes.length - weightStore.concurrentLoads
+        ]
       : this.now;
     host.loaded = model;
     host.loadedAt = start + seconds * MS_PER_SECOND;
-    this.loadsUntil.push(host.loadedAt);
+    this.loadEndTimes.push(host.loadedAt);
   }
 
   private isServing(group: Group): boolean {
-    const isReady = this.now >= (this.readyAt.get(group.id) ?? 0);
+    const isReady = this.now >= (this.groupReadyAt.get(group.id) ?? 0);
     return (
       isReady &&
       group.members.every(member => {
-        const host = this.get(member.hostId);
-        const isSame = String(host.incarnation) === member.incarnation;
+        const host = this.getHost(member.hostId);
+        const isSameIncarnation =
+          String(host.incarnation) === member.incarnation;
         return (
           host.isUp &&
-          isSame &&
+          isSameIncarnation &&
           host.loaded === group.name &&
           host.loadedAt <= this.now
         );
@@ -250,7 +261,7 @@
     );
   }
 
-  private countDown(): number {
+  private countMissingGroups(): number {
     const serving = this.table.list().filter(group => this.isServing(group));
     return this.options.bundle.models.reduce((sum, model) => {
       const count = serving.filter(group => group.name === model.name).length;
@@ -258,18 +269,18 @@
     }, 0);
   }
 
-  private countStranded(): number {
+  private countStrandedAccelerators(): number {
     const serving = this.table.list().filter(group => this.isServing(group));
-    const used = new Set(
+    const servingHosts = new Set(
       serving.flatMap(group => group.members.map(member => member.hostId)),
     );
     const idle = [...this.hosts.values()].filter(
-      host => host.isUp && !used.has(host.hostId),
+      host => host.isUp && !servingHosts.has(host.hostId),
     );
-    return idle.length * ACCELERATORS;
+    return idle.length * ACCELERATORS_PER_HOST;
   }
 
-  private get(hostId: string): VirtualHost {
-    return this.hosts.get(hostId) as VirtualHost;
+  private getHost(hostId: string): SimulatedHost {
+    return this.hosts.get(hostId) as SimulatedHost;
   }
 }
--- a/bench/process_usage.ts
+++ b/bench/read_process_usage.ts
@@ -5,9 +5,9 @@
 const BYTES_PER_MB = 1_000_000;
 const USER_TIME_FIELD = 11;
 const SYSTEM_TIME_FIELD = 12;
-const RESIDENT_FIELD = 1;
+const RESIDENT_PAGES_FIELD = 1;
 
-/** Processor time and resident memory of a process, from the kernel's own count. */
+/** Reads CPU time and resident memory of a process from `/proc`. */
 export function readProcessUsage(pid: number): {
   cpuSeconds: number;
   residentMb: number;
@@ -17,7 +17,7 @@
   const ticks =
     Number(fields[USER_TIME_FIELD]) + Number(fields[SYSTEM_TIME_FIELD]);
   const pages = Number(
-    readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[RESIDENT_FIELD],
+    readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[RESIDENT_PAGES_FIELD],
   );
   return {
     cpuSeconds: ticks / TICKS_PER_SECOND,
--- a/bench/run_capacity.ts
+++ b/bench/run_capacity.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the slopes behind docs/CAPACITY.md: what control spends for each
- * host, group and entry, and what roll-outs take on many sessions.
+ * Measures the rates behind docs/CAPACITY.md: how the load of control grows with
+ * hosts, groups and entries, and how long a roll-out takes with many sessions.
  */
 import {cpus} from 'node:os';
 import {Bundle} from '../src/protocol/bundle';
@@ -9,12 +9,12 @@
 import {ManagedProcess} from '../test/support/managed_process';
 import {TestFleet} from '../test/support/test_fleet';
 import {waitUntil} from '../test/support/wait_until';
-import {LightFleet} from './light_fleet';
-import {readProcessUsage} from './process_usage';
+import {SessionLoadGenerator} from './session_load_generator';
+import {readProcessUsage} from './read_process_usage';
 
-const HOST_STEPS = [0, 200, 400, 800];
-const ENTRY_STEPS = [0, 40, 80];
-const MEASURE_MS = 6_000;
+const HOST_COUNTS = [0, 200, 400, 800];
+const ENTRY_COUNTS = [0, 40, 80];
+const SAMPLE_MS = 6_000;
 const SETTLE_MS = 3_000;
 const MS_PER_SECOND = 1_000;
 const HOSTS_PER_GROUP = 8;
@@ -27,7 +27,7 @@
   readonly answersPerSecond: number;
 }
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -44,17 +44,17 @@
   });
 }
 
-async function measure(
+async function measureLeader(
   leader: ManagedProcess,
-  light: LightFleet,
+  generator: SessionLoadGenerator,
 ): Promise<Sample> {
   const before = readProcessUsage(leader.pid);
-  const traffic = {...light.traffic};
+  const traffic = {...generator.traffic};
   const startedAt = performance.now();
-  await sleep(MEASURE_MS);
+  await sleep(SAMPLE_MS);
   const seconds = (performance.now() - startedAt) / MS_PER_SECOND;
   const after = readProcessUsage(leader.pid);
-  const {sentBytes, receivedBytes, answers} = light.traffic;
+  const {sentBytes, receivedBytes, answers} = generator.traffic;
   return {
     cpuShare: (after.cpuSeconds - before.cpuSeconds) / seconds,
     residentMb: after.residentMb,
@@ -64,9 +64,9 @@
   };
 }
 
-function reportSample(what: string, sample: Sample): void {
-  say(
-    `${what}: leader ${(sample.cpuShare * 100).toFixed(1)}% of a core, ` +
+function reportSample(title: string, sample: Sample): void {
+  print(
+    `${title}: leader ${(sample.cpuShare * 100).toFixed(1)}% of a core, ` +
       `${sample.residentMb.toFixed(0)} MB, ` +
       `in ${(sample.sentPerSecond / MS_PER_SECOND).toFixed(1)} KB/s, ` +
       `out ${(sample.receivedPerSecond / MS_PER_SECOND).toFixed(1)} KB/s, ` +
@@ -77,11 +77,11 @@
 async function measureHosts(
   fleet: TestFleet,
   leader: ManagedProcess,
-  light: LightFleet,
+  generator: SessionLoadGenerator,
 ): Promise<void> {
   let added = 0;
-  for (const hosts of HOST_STEPS) {
-    await light.addHosts(added, hosts);
+  for (const hosts of HOST_COUNTS) {
+    await generator.addHosts(added, hosts);
     added = hosts;
     const groups = hosts / HOSTS_PER_GROUP;
     const entry = fleet.findEntry('entry-1');
@@ -93,12 +93,12 @@
     const before = readProcessUsage(entry.pid);
     reportSample(
       `${hosts} hosts in ${groups} groups, 1 entry`,
-      await measure(leader, light),
+      await measureLeader(leader, generator),
     );
     const after = readProcessUsage(entry.pid);
     const share =
-      (after.cpuSeconds - before.cpuSeconds) / (MEASURE_MS / MS_PER_SECOND);
-    say(
+      (after.cpuSeconds - before.cpuSeconds) / (SAMPLE_MS / MS_PER_SECOND);
+    print(
       `  the entry, ${groups} links, no requests: ${(share * 100).toFixed(1)}% of a core, ` +
         `${after.residentMb.toFixed(0)} MB`,
     );
@@ -107,61 +107,63 @@
 
 async function measureEntries(
   leader: ManagedProcess,
-  light: LightFleet,
+  generator: SessionLoadGenerator,
 ): Promise<void> {
   let added = 0;
-  for (const entries of ENTRY_STEPS) {
-    await light.addEntries(added, entries);
+  for (const entries of ENTRY_COUNTS) {
+    await generator.addEntries(added, entries);
     added = entries;
     await sleep(SETTLE_MS);
-    const hosts = HOST_STEPS.at(-1);
+    const hosts = HOST_COUNTS.at(-1);
     reportSample(
       `${hosts} hosts, ${entries} entries`,
-      await measure(leader, light),
+      await measureLeader(leader, generator),
     );
   }
 }
 
 async function measureRollOut(
   fleet: TestFleet,
-  light: LightFleet,
+  generator: SessionLoadGenerator,
 ): Promise<void> {
   const version = 2;
   const startedAt = performance.now();
   await fleet.rollOut(createBundle(version, 1_000));
   const acceptedAt = performance.now();
   await waitUntil('the bundle is in force everywhere', () =>
-    [...light.versions.values()].every(seen => seen === version),
+    [...generator.bundleVersions.values()].every(seen => seen === version),
   );
-  const sessions = light.versions.size;
-  say(
+  const sessions = generator.bundleVersions.size;
+  print(
     `roll-out: accepted in ${(acceptedAt - startedAt).toFixed(0)} ms, ` +
       `known to ${sessions} sessions ${(performance.now() - acceptedAt).toFixed(0)} ms later`,
   );
 }
 
 async function main(): Promise<void> {
-  say(
+  print(
     `node ${process.version}, ${cpus().length} cores, ${new Date().toISOString().slice(0, 10)}`,
   );
   const fleet = await TestFleet.create({hosts: [], entries: 1});
-  let light: LightFleet | undefined;
+  let generator: SessionLoadGenerator | undefined;
   try {
     await fleet.rollOut(createBundle(1, 1_000));
     const status = await fleet.operator.readStatus();
     const {name} = splitIdentity(status.leader);
     const leader = fleet.findControl(name);
-    light = LightFleet.create(`127.0.0.1:${leader.ready['port']}`);
-    await measureHosts(fleet, leader, light);
-    await measureEntries(leader, light);
-    await measureRollOut(fleet, light);
+    generator = SessionLoadGenerator.create(
+      `127.0.0.1:${leader.ready['port']}`,
+    );
+    await measureHosts(fleet, leader, generator);
+    await measureEntries(leader, generator);
+    await measureRollOut(fleet, generator);
     for (const control of fleet.controls.values()) {
-      say(
+      print(
         `${control.label}: ${readProcessUsage(control.pid).residentMb.toFixed(0)} MB`,
       );
     }
   } finally {
-    light?.close();
+    generator?.close();
     await fleet.close();
   }
 }
--- a/bench/run_containment.ts
+++ b/bench/run_containment.ts
@@ -1,7 +1,7 @@
 /**
- * Plays gateways before backend servers that end under some requests, and by
- * themselves in waves, and prints how many end, who is refused and what a repeat
- * costs, with each mechanism switched off in turn.
+ * Simulates gateways with backend servers that crash on certain requests, and also
+ * on their own in waves. Prints the crashes, the healthy requests refused and the
+ * delay of retries, with the containment complete and with parts of it disabled.
  *
  * Usage: `npm run bench:containment -- [SEEDS]`
  */
@@ -12,9 +12,9 @@
 
 const DEFAULT_SEEDS = 20;
 
-type Load = Omit<CrashFleetOptions, 'random' | 'without'>;
+type Scenario = Omit<CrashFleetOptions, 'random' | 'without'>;
 
-const BASE: Load = {
+const BASE: Scenario = {
   gateways: 5,
   servers: 9,
   perSecond: 80,
@@ -26,9 +26,12 @@
   newsMs: 30,
 };
 
-const SERIES = [0, 1, 2, 3, 4, 5].map(at => ({at: 3_000 + at * 500, count: 1}));
+const LOSS_SERIES = [0, 1, 2, 3, 4, 5].map(at => ({
+  at: 3_000 + at * 500,
+  count: 1,
+}));
 
-const LOADS: Readonly<Record<string, Load>> = {
+const SCENARIOS: Readonly<Record<string, Scenario>> = {
   'one request': BASE,
   'three requests': {...BASE, marked: 3},
   'one, 36 gateways, late news': {
@@ -49,13 +52,13 @@
     leaderLostEveryMs: 2_000,
   },
   'twenty requests, each repeated': {...BASE, marked: 20},
-  'one, and a series of losses': {...BASE, losses: SERIES},
+  'one, and a series of losses': {...BASE, losses: LOSS_SERIES},
   'no such request, a wave of four': {
     ...BASE,
     marked: 0,
     losses: [{at: 3_000, count: 4}],
   },
-  'no such request, a series of six': {...BASE, marked: 0, losses: SERIES},
+  'no such request, a series of six': {...BASE, marked: 0, losses: LOSS_SERIES},
 };
 
 const VARIANTS: Readonly<Record<string, CrashFleetOptions['without']>> = {
@@ -64,14 +67,14 @@
   'nothing shared': 'sharing',
 };
 
-/** The value below which a part of all lie; 0 of none. */
-function findQuantile(values: readonly number[], part: number): number {
+/** The value below which the fraction `fraction` of all values lies; 0 for an empty list. */
+function findQuantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((left, right) => left - right);
-  const at = Math.min(sorted.length - 1, Math.floor(sorted.length * part));
+  const at = Math.min(sorted.length - 1, Math.floor(sorted.length * fraction));
   return sorted[at] ?? 0;
 }
 
-function format(results: readonly CrashFleetResult[]): string {
+function formatResults(results: readonly CrashFleetResult[]): string {
   const ended = results.flatMap(({endedByMarked}) => endedByMarked);
   const known = results.flatMap(({knownAfterMs}) => knownAfterMs);
   const delays = results.flatMap(({repeatDelaysMs}) => repeatDelaysMs);
@@ -87,15 +90,15 @@
 }
 
 async function run(seeds: number): Promise<void> {
-  for (const [loadName, load] of Object.entries(LOADS)) {
-    console.log(loadName);
+  for (const [scenarioName, scenario] of Object.entries(SCENARIOS)) {
+    console.log(scenarioName);
     for (const [name, without] of Object.entries(VARIANTS)) {
       const results: CrashFleetResult[] = [];
       for (let seed = 1; seed <= seeds; seed += 1) {
         const random = createRandom(seed);
-        results.push(await playCrashes({...load, without, random}));
+        results.push(await playCrashes({...scenario, without, random}));
       }
-      console.log(`  ${name}: ${format(results)}`);
+      console.log(`  ${name}: ${formatResults(results)}`);
     }
   }
 }
--- a/bench/run_engine_policy.ts
+++ b/bench/run_engine_policy.ts
@@ -1,6 +1,6 @@
 /**
- * Plays a fleet that loses hosts all the time with each mechanism of the plan
- * switched off in turn, and prints what part of the demand was served.
+ * Simulates a fleet that loses hosts continually, with each mechanism of the
+ * planner disabled in turn, and prints the fraction of the demand that was served.
  *
  * Usage: `npm run bench:policy -- [SEEDS]`
  */
@@ -13,10 +13,10 @@
 const DEFAULT_SEEDS = 24;
 const LENGTH_MS = 56_000;
 
-/** A mechanism of the plan, or the split of the hosts, switched off. */
+/** Switches for the mechanisms of the planner and for splitting hosts by demand. */
 type Variant = EnginePolicy & {readonly followsDemand?: boolean};
 
-/** The mechanisms; without none the plan is as it is made. */
+/** Each variant disables one mechanism; `as it is` disables none. */
 const VARIANTS: Readonly<Record<string, Variant>> = {
   'as it is': {},
   'hosts split as configured': {followsDemand: false},
@@ -28,19 +28,19 @@
 };
 
 interface Fleet {
-  /** Hosts of each domain. */
+  /** Hosts in each domain. */
   readonly domain: number;
-  /** Three without it. */
+  /** Number of domains, 3 by default. */
   readonly domains?: number;
-  /** Hosts of a group of each model. */
+  /** Hosts in a group, by model. */
   readonly sizes: readonly [number, number];
-  /** Groups that the demand takes. */
+  /** Groups that it takes to serve the demand, by model. */
   readonly demand: Readonly<Record<string, number>>;
-  /** Between two losses. */
+  /** Mean milliseconds between two host losses. */
   readonly everyMs: number;
 }
 
-/** Fleets of several sizes. */
+/** The simulated fleets, by the title that is printed. */
 const FLEETS: Readonly<Record<string, Fleet>> = {
   'three domains of 8, groups of 4 and 2': {
     domain: 8,
@@ -69,7 +69,7 @@
   },
 };
 
-function play(fleet: Fleet, seed: number, variant: Variant) {
+function simulate(fleet: Fleet, seed: number, variant: Variant) {
   const {followsDemand, ...policy} = variant;
   const {domain, sizes, demand, everyMs} = fleet;
   const domains = Object.fromEntries(
@@ -91,7 +91,7 @@
   });
 }
 
-function compute(values: readonly number[]) {
+function computeMean(values: readonly number[]) {
   const mean = values.reduce((sum, value) => sum + value, 0) / values.length;
   const squares = values.reduce((sum, value) => sum + (value - mean) ** 2, 0);
   const error = Math.sqrt(squares / (values.length - 1) / values.length);
@@ -104,15 +104,15 @@
 );
 for (const [title, fleet] of Object.entries(FLEETS)) {
   console.log(`${title}, ${seeds.length} seeds`);
-  const full = seeds.map(seed => play(fleet, seed, {}));
+  const baseline = seeds.map(seed => simulate(fleet, seed, {}));
   for (const [name, variant] of Object.entries(VARIANTS)) {
     const results = seeds.map((seed, at) =>
-      name === 'as it is' ? full[at] : play(fleet, seed, variant),
+      name === 'as it is' ? baseline[at] : simulate(fleet, seed, variant),
     );
-    const {mean} = compute(results.map(({covered}) => covered));
-    const worst = compute(results.map(result => result.worst)).mean;
-    const change = compute(
-      results.map(({covered}, at) => covered - full[at].covered),
+    const {mean} = computeMean(results.map(({covered}) => covered));
+    const worst = computeMean(results.map(result => result.worst)).mean;
+    const change = computeMean(
+      results.map(({covered}, at) => covered - baseline[at].covered),
     );
     console.log(
       `  ${name.padEnd(38)} served ${mean.toFixed(3)}, worst 4 s ${worst.toFixed(3)}, change ${change.mean.toFixed(3)} +- ${change.error.toFixed(3)}`,
--- a/bench/run_identity.ts
+++ b/bench/run_identity.ts
@@ -1,6 +1,6 @@
 /**
- * Prints what telling a request apart costs in processor time: where nothing is
- * held against its caller, where something is, and its identity alone.
+ * Prints the CPU time of checking a request against the list of suspects: with an
+ * empty list, with suspects of another workspace and with suspects of its own.
  *
  * Usage: `npm run bench:identity`
  */
@@ -8,7 +8,7 @@
 import {SuspectList} from '../src/gateway/suspect_list';
 
 const BODY_BYTES = 16 * 1024;
-const ROUNDS = 40_000;
+const ITERATIONS = 40_000;
 const US_PER_MS = 1_000;
 
 const body = Buffer.alloc(BODY_BYTES, 'x');
@@ -18,20 +18,20 @@
   return RequestIdentity.create({request, workspace, body});
 }
 
-/** Processor time of one round in microseconds. */
-function measure(act: () => unknown): number {
+/** CPU time of one iteration in microseconds. */
+function measure(check: () => unknown): number {
   const before = process.cpuUsage();
-  for (let round = 0; round < ROUNDS; round += 1) {
-    act();
+  for (let iteration = 0; iteration < ITERATIONS; iteration += 1) {
+    check();
   }
   const {user, system} = process.cpuUsage(before);
-  return (user + system) / ROUNDS;
+  return (user + system) / ITERATIONS;
 }
 
-function createList(held: number): SuspectList {
+function createList(count: number): SuspectList {
   const list = SuspectList.create();
   const convicted = Array.from(
-    {length: held},
+    {length: count},
     (_, at) => createIdentity('held').name.slice(0, 8) + String(at),
   );
   const nobody = {suspected: [], freed: []};
@@ -48,9 +48,9 @@
   'something is held against this caller': () =>
     full.find(createIdentity('held')),
 };
-for (const [name, act] of Object.entries(cases)) {
-  measure(act);
-  const us = measure(act);
+for (const [name, check] of Object.entries(cases)) {
+  measure(check);
+  const us = measure(check);
   console.log(
     `${name}: ${us.toFixed(2)} microseconds (${((us / US_PER_MS / 10) * 44).toFixed(4)}% of a core at 44 requests a second)`,
   );
--- a/bench/run_limits.ts
+++ b/bench/run_limits.ts
@@ -1,4 +1,4 @@
-/** What a limit costs control: questions for permits, by gateways, limit and demand. */
+/** Prints the load of a rate limit on control: permit requests per second by number of gateways, limit and demand. */
 import {ControlMessage} from '../src/protocol/control_message';
 import {messageCodec} from '../src/protocol/message_codec';
 import {createRandom} from '../test/support/create_random';
@@ -6,37 +6,37 @@
 
 const GATEWAYS = [3, 16, 340];
 const LIMITS = [0.5, 3.7, 50];
-/** Demand over the limit, of all gateways together. */
+/** Total demand of all gateways, in multiples of the limit. */
 const DEMANDS = [1.5, 4, 40];
-const FROM_MS = 10_000;
-const FOR_MS = 30_000;
+const WARM_UP_MS = 10_000;
+const MEASURE_MS = 30_000;
 const MS_PER_SECOND = 1_000;
 
-const ASK: ControlMessage = {
+const PERMIT_ASK: ControlMessage = {
   type: 'permit-ask',
   call: 123_456,
   gatewayId: 'front-saburtalo-1',
   limit: {incarnation: `${BACKEND}@1767225600000`, perSecond: 3.7, msAgo: 1.5},
 };
-const ANSWER: ControlMessage = {
+const PERMIT_ANSWER: ControlMessage = {
   type: 'permit-answer',
   call: 123_456,
   verdict: {kind: 'granted', pauseMs: 12.5, intervalMs: 270.25},
 };
 
 async function measure(gateways: number, limit: number, demand: number) {
-  const crowd = LimitCrowd.create({
+  const fleet = LimitCrowd.create({
     gateways,
     limitAt: () => limit,
     demandAt: () => (limit * demand) / gateways,
     random: createRandom(1),
   });
-  await crowd.run(FROM_MS);
-  const before = crowd.asks;
-  await crowd.run(FROM_MS + FOR_MS);
-  const perSecond = ((crowd.asks - before) * MS_PER_SECOND) / FOR_MS;
-  const sent = crowd.countSent(FROM_MS, FROM_MS + FOR_MS);
-  const used = (sent * MS_PER_SECOND) / FOR_MS / limit;
+  await fleet.run(WARM_UP_MS);
+  const before = fleet.asks;
+  await fleet.run(WARM_UP_MS + MEASURE_MS);
+  const perSecond = ((fleet.asks - before) * MS_PER_SECOND) / MEASURE_MS;
+  const sent = fleet.countSent(WARM_UP_MS, WARM_UP_MS + MEASURE_MS);
+  const used = (sent * MS_PER_SECOND) / MEASURE_MS / limit;
   console.log(
     `${gateways} gateways, ${limit} a second, demand ${demand} times that: ` +
       `${perSecond.toFixed(1)} questions a second in all, ` +
@@ -46,7 +46,9 @@
 }
 
 async function main(): Promise<void> {
-  const bytes = [ASK, ANSWER].map(message => messageCodec.encode(message));
+  const bytes = [PERMIT_ASK, PERMIT_ANSWER].map(message =>
+    messageCodec.encode(message),
+  );
   const [asked, answered] = bytes.map(({length}) => length);
   console.log(`a question: ${asked} bytes, an answer: ${answered} bytes`);
   for (const gateways of GATEWAYS) {
--- a/bench/run_path.ts
+++ b/bench/run_path.ts
@@ -1,20 +1,20 @@
 /**
- * Measures the path through entry and host process against a direct call to
- * the same stand-in, in one run: what it adds to the first token and between
- * tokens, tokens and requests a second through one entry, and memory.
+ * Compares requests through the entry and host processes with direct requests to
+ * the same stand-in: added latency of the first token and between tokens, tokens
+ * and requests per second through one entry, and resident memory.
  */
 import * as http from 'node:http';
 import {cpus} from 'node:os';
 import {ManagedProcess} from '../test/support/managed_process';
-import {startBenchFleet} from './bench_fleet';
-import {readProcessUsage} from './process_usage';
-import {timeStream} from './stream_client';
+import {startBenchFleet} from './start_bench_fleet';
+import {readProcessUsage} from './read_process_usage';
+import {timeStream} from './time_stream';
 import {summarize} from './summarize';
 
 const REPLICAS = 3;
 const LATENCY_ROUNDS = 150;
-/** Between requests of a quiet entry: processors and caches have gone cold. */
-const PAUSE_MS = 20;
+/** Pause between the requests to an idle entry, long enough for processors and caches to go cold. */
+const IDLE_PAUSE_MS = 20;
 const GAP_ROUNDS = 40;
 const WARM_UP_STREAMS = 9_000;
 const GAP_TOKENS = 25;
@@ -28,7 +28,7 @@
 
 type Fleet = Awaited<ReturnType<typeof startBenchFleet>>;
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
@@ -36,13 +36,13 @@
   return value.toFixed(digits);
 }
 
-/** Sends the same requests both ways in turn, so that both see the same machine. */
-async function compareWays(
+/** Alternates between both paths, so that other load of the machine affects both alike. */
+async function measureBothPaths(
   {fleet, key, standIns}: Fleet,
   options: {rounds: number; tokens: number; pauseMs: number},
 ): Promise<Record<'direct' | 'routed', {firsts: number[]; gaps: number[]}>> {
   const agent = new http.Agent({keepAlive: true});
-  const ways = {
+  const paths = {
     direct: {
       url: String(standIns[0].ready['url']),
       firsts: [] as number[],
@@ -56,66 +56,66 @@
   };
   const {rounds, tokens, pauseMs} = options;
   for (let at = 0; at < rounds; at += 1) {
-    for (const way of [ways.direct, ways.routed]) {
+    for (const route of [paths.direct, paths.routed]) {
       const times = await timeStream({
-        url: way.url,
+        url: route.url,
         key,
         model: 'assistant',
         tokens,
         agent,
       });
-      way.firsts.push(times.firstTokenMs);
-      way.gaps.push(...times.gapsMs);
+      route.firsts.push(times.firstTokenMs);
+      route.gaps.push(...times.gapsMs);
       await new Promise(resolve => setTimeout(resolve, pauseMs));
     }
   }
   agent.destroy();
-  return ways;
+  return paths;
 }
 
-function reportAdded(
-  what: string,
+function reportOverhead(
+  title: string,
   direct: readonly number[],
   routed: readonly number[],
 ): void {
-  const [without, with_] = [summarize(direct), summarize(routed)];
-  say(
-    `${what}: direct median ${round(without.median, 3)} p99 ${round(without.p99, 3)} ms, ` +
-      `routed median ${round(with_.median, 3)} p99 ${round(with_.p99, 3)} ms, ` +
-      `added median ${round(with_.median - without.median, 3)} p99 ${round(with_.p99 - without.p99, 3)} ms ` +
-      `(${with_.count} samples)`,
+  const [directTimes, routedTimes] = [summarize(direct), summarize(routed)];
+  print(
+    `${title}: direct median ${round(directTimes.median, 3)} p99 ${round(directTimes.p99, 3)} ms, ` +
+      `routed median ${round(routedTimes.median, 3)} p99 ${round(routedTimes.p99, 3)} ms, ` +
+      `added median ${round(routedTimes.median - directTimes.median, 3)} p99 ${round(routedTimes.p99 - directTimes.p99, 3)} ms ` +
+      `(${routedTimes.count} samples)`,
   );
 }
 
 async function measureLatency(fleet: Fleet): Promise<void> {
-  for (const pauseMs of [0, PAUSE_MS]) {
-    const ways = await compareWays(fleet, {
+  for (const pauseMs of [0, IDLE_PAUSE_MS]) {
+    const paths = await measureBothPaths(fleet, {
       rounds: LATENCY_ROUNDS,
       tokens: 1,
       pauseMs,
     });
     const when = pauseMs === 0 ? 'back to back' : `${pauseMs} ms apart`;
-    reportAdded(
+    reportOverhead(
       `first token, requests ${when}`,
-      ways.direct.firsts,
-      ways.routed.firsts,
+      paths.direct.firsts,
+      paths.routed.firsts,
     );
   }
-  const ways = await compareWays(fleet, {
+  const paths = await measureBothPaths(fleet, {
     rounds: GAP_ROUNDS,
     tokens: GAP_TOKENS,
     pauseMs: 0,
   });
-  reportAdded('between tokens', ways.direct.gaps, ways.routed.gaps);
+  reportOverhead('between tokens', paths.direct.gaps, paths.routed.gaps);
 }
 
-/** Code that never ran is several times slower; a busy entry has run it long ago. */
+/** Runs the code until it is compiled and optimised, as in a busy entry; cold code is several times slower. */
 async function warmUp({fleet, key, standIns}: Fleet): Promise<void> {
   const agent = new http.Agent({keepAlive: true, maxSockets: 20});
-  const common = {model: 'assistant', tokens: 1, agent, key};
+  const streamOptions = {model: 'assistant', tokens: 1, agent, key};
   await Promise.all(
     Array.from({length: WARM_UP_STREAMS}, () =>
-      timeStream({...common, url: fleet.entryUrl()}),
+      timeStream({...streamOptions, url: fleet.entryUrl()}),
     ),
   );
   await Promise.all(
@@ -123,7 +123,7 @@
       .slice(0, REPLICAS)
       .flatMap(standIn =>
         Array.from({length: WARM_UP_STREAMS / REPLICAS}, () =>
-          timeStream({...common, url: String(standIn.ready['url'])}),
+          timeStream({...streamOptions, url: String(standIn.ready['url'])}),
         ),
       ),
   );
@@ -139,7 +139,7 @@
       ({pid}) => readProcessUsage(pid).cpuSeconds,
     );
     const startedAt = performance.now();
-    const all = await Promise.all(
+    const streamTimes = await Promise.all(
       Array.from({length: streams}, () =>
         timeStream({
           url: fleet.entryUrl(),
@@ -155,13 +155,13 @@
       ({pid}) => readProcessUsage(pid).cpuSeconds,
     );
     const cpu = after.map((value, at) => value - before[at]);
-    const tokens = all.reduce((sum, times) => sum + times.tokens, 0);
-    const gaps = summarize(all.flatMap(times => times.gapsMs));
+    const tokens = streamTimes.reduce((sum, times) => sum + times.tokens, 0);
+    const gaps = summarize(streamTimes.flatMap(times => times.gapsMs));
     agent.destroy();
-    say(
+    print(
       `${streams} streams: ${Math.round(tokens / seconds)} tokens/s, ` +
         `gap median ${round(gaps.median)} p99 ${round(gaps.p99)} ms, ` +
-        `whole ${all.filter(times => times.isWhole).length} of ${streams}, ` +
+        `whole ${streamTimes.filter(times => times.isWhole).length} of ${streams}, ` +
         `entry ${round((cpu[0] / seconds) * 100, 0)}% of a core = ${Math.round(tokens / cpu[0])} tokens per core second, ` +
         `hosts ${Math.round(tokens / (cpu[1] + cpu[2] + cpu[3]))} tokens per core second`,
     );
@@ -183,7 +183,7 @@
   let answered = 0;
   const cpuBefore = readProcessUsage(entry.pid).cpuSeconds;
   const startedAt = performance.now();
-  const work = async () => {
+  const runWorker = async () => {
     while (sent < total) {
       sent += 1;
       const sentAt = performance.now();
@@ -196,12 +196,12 @@
       answered += status === 200 ? 1 : 0;
     }
   };
-  await Promise.all(Array.from({length: REQUEST_CONCURRENCY}, work));
+  await Promise.all(Array.from({length: REQUEST_CONCURRENCY}, runWorker));
   const seconds = (performance.now() - startedAt) / MS_PER_SECOND;
   const cpu = readProcessUsage(entry.pid).cpuSeconds - cpuBefore;
   agent.destroy();
   const {median, p99} = summarize(latencies);
-  say(
+  print(
     `service ${path}: ${Math.round(total / seconds)} requests/s, ${answered} of ${total} answered, ` +
       `median ${round(median)} p99 ${round(p99)} ms at ${REQUEST_CONCURRENCY} at once, ` +
       `entry ${Math.round(total / cpu)} requests per core second`,
@@ -235,11 +235,11 @@
     );
     return `${name} ${sizes.map(size => Math.round(size)).join(' ')}`;
   });
-  say(`memory ${when}, MB resident: ${parts.join('; ')}`);
+  print(`memory ${when}, MB resident: ${parts.join('; ')}`);
 }
 
 async function main(): Promise<void> {
-  say(
+  print(
     `node ${process.version}, ${cpus().length} cores, ${new Date().toISOString().slice(0, 10)}`,
   );
   const fleet = await startBenchFleet({
--- a/bench/run_promises.ts
+++ b/bench/run_promises.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how fast the promises act: a group's stop and repair, a leader
- * change, commits, roll-outs, recovery of the log, claims.
+ * Measures the times behind the guarantees of the system: stop and repair of a
+ * group, change of the control leader, claims, roll-outs and recovery of the log.
  */
 import {mkdtempSync, rmSync} from 'node:fs';
 import * as http from 'node:http';
@@ -14,22 +14,22 @@
 import {WriteAheadLog} from '../src/state/write_ahead_log';
 import {TestFleet} from '../test/support/test_fleet';
 import {waitUntil} from '../test/support/wait_until';
-import {LightFleet} from './light_fleet';
+import {SessionLoadGenerator} from './session_load_generator';
 import {summarize} from './summarize';
 
 const KEY = 'promises-key';
 const ROUNDS = 5;
 const CLAIMS = 1_000;
-const BATCHED_CLAIMS = 64;
-const LIGHT_HOSTS = 200;
-const LOG_LENGTHS = [1_000, 10_000, 50_000];
-const ONCE_CALLS = 500;
+const CONCURRENT_CLAIMS = 64;
+const SIMULATED_HOSTS = 200;
+const LOG_ENTRY_COUNTS = [1_000, 10_000, 50_000];
+const ONCE_ONLY_CALLS = 500;
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(`${text}\n`);
 }
 
-function describe(values: readonly number[]): string {
+function formatTimes(values: readonly number[]): string {
   const {median, p99, count} = summarize(values);
   return `median ${median.toFixed(1)} p99 ${p99.toFixed(1)} ms (${count} samples)`;
 }
@@ -58,7 +58,7 @@
   });
 }
 
-/** Whether a host process says that the group it leads serves. */
+/** Whether a host process reports that the group which it leads is serving. */
 async function isServing(fleet: TestFleet, hostId: string): Promise<boolean> {
   const port = fleet.findHost(hostId).ready['announcePort'];
   const response = await fetch(`http://127.0.0.1:${port}/status`);
@@ -103,9 +103,9 @@
   } finally {
     await fleet.close();
   }
-  say(`a member is killed, its group stops: ${describe(stops)}`);
-  say(
-    `a member is killed, its group serves again with a spare: ${describe(repairs)}`,
+  print(`a member is killed, its group stops: ${formatTimes(stops)}`);
+  print(
+    `a member is killed, its group serves again with a spare: ${formatTimes(repairs)}`,
   );
 }
 
@@ -132,7 +132,7 @@
   } finally {
     await fleet.close();
   }
-  say(`the leader is killed, a new one answers: ${describe(times)}`);
+  print(`the leader is killed, a new one answers: ${formatTimes(times)}`);
 }
 
 function createClaim(at: number) {
@@ -164,23 +164,23 @@
       await client.ask({type: 'claim-ask', claim: createClaim((next += 1))});
       return performance.now() - askedAt;
     };
-    const single: number[] = [];
+    const sequential: number[] = [];
     for (let at = 0; at < CLAIMS; at += 1) {
-      single.push(await claim());
+      sequential.push(await claim());
     }
-    say(`one claim at a time: ${describe(single)}`);
+    print(`one claim at a time: ${formatTimes(sequential)}`);
     const startedAt = performance.now();
-    const batched: number[] = [];
-    const work = async () => {
-      while (batched.length < CLAIMS * 10) {
-        batched.push(await claim());
+    const concurrent: number[] = [];
+    const runWorker = async () => {
+      while (concurrent.length < CLAIMS * 10) {
+        concurrent.push(await claim());
       }
     };
-    await Promise.all(Array.from({length: BATCHED_CLAIMS}, work));
+    await Promise.all(Array.from({length: CONCURRENT_CLAIMS}, runWorker));
     const seconds = (performance.now() - startedAt) / 1_000;
-    say(
-      `${BATCHED_CLAIMS} claims at once share writes: ${describe(batched)}, ` +
-        `${Math.round(batched.length / seconds)} claims/s`,
+    print(
+      `${CONCURRENT_CLAIMS} claims at once share writes: ${formatTimes(concurrent)}, ` +
+        `${Math.round(concurrent.length / seconds)} claims/s`,
     );
     client.close();
     await measureRollOut(fleet);
@@ -192,29 +192,29 @@
 async function measureRollOut(fleet: TestFleet): Promise<void> {
   const {leader} = await fleet.operator.readStatus();
   const {port} = fleet.findControl(splitIdentity(leader).name).ready;
-  const light = LightFleet.create(`127.0.0.1:${String(port)}`);
+  const generator = SessionLoadGenerator.create(`127.0.0.1:${String(port)}`);
   const times: number[] = [];
-  await light.addHosts(0, LIGHT_HOSTS);
+  await generator.addHosts(0, SIMULATED_HOSTS);
   for (let version = 2; version < 2 + ROUNDS; version += 1) {
     const startedAt = performance.now();
     await fleet.rollOut(createBundle(version, 0));
     await waitUntil('in force everywhere', () => {
-      const versions = [...light.versions.values()];
+      const versions = [...generator.bundleVersions.values()];
       return (
-        versions.length === LIGHT_HOSTS &&
+        versions.length === SIMULATED_HOSTS &&
         versions.every(seen => seen === version)
       );
     });
     times.push(performance.now() - startedAt);
   }
-  light.close();
-  say(
-    `a bundle is sent, ${LIGHT_HOSTS} light hosts know it: ${describe(times)}`,
+  generator.close();
+  print(
+    `a bundle is sent, ${SIMULATED_HOSTS} light hosts know it: ${formatTimes(times)}`,
   );
 }
 
 async function measureRecovery(): Promise<void> {
-  for (const length of LOG_LENGTHS) {
+  for (const length of LOG_ENTRY_COUNTS) {
     const folder = mkdtempSync(path.join(tmpdir(), 'whinreel-recovery-'));
     const log = await WriteAheadLog.create(folder);
     const records = Array.from({length}, (_, at): LogRecord => {
@@ -224,16 +224,16 @@
     await log.append(records);
     await log.close();
     const startedAt = performance.now();
-    const again = await WriteAheadLog.create(folder);
-    say(
+    const reopened = await WriteAheadLog.create(folder);
+    print(
       `a log of ${length} entries is read in ${(performance.now() - startedAt).toFixed(0)} ms`,
     );
-    await again.close();
+    await reopened.close();
     rmSync(folder, {recursive: true});
   }
 }
 
-async function measureOnce(): Promise<void> {
+async function measureOnceOnly(): Promise<void> {
   const fleet = await TestFleet.create({
     hosts: [{hostId: 's1', domain: 'd', kind: 'service', name: 'dispatch'}],
   });
@@ -243,12 +243,12 @@
     await fleet.waitForReady();
     const agent = new http.Agent({keepAlive: true});
     const times: Record<string, number[]> = {'/any': [], '/once': []};
-    for (let at = 0; at < ONCE_CALLS * 2; at += 1) {
+    for (let at = 0; at < ONCE_ONLY_CALLS * 2; at += 1) {
       for (const [place, list] of Object.entries(times)) {
         const sentAt = performance.now();
         await post(`${fleet.entryUrl()}/services/dispatch${place}`, agent);
-        // The first half warms the code up.
-        if (at >= ONCE_CALLS) {
+        // The first half lets the JIT compiler optimise the code and is not counted.
+        if (at >= ONCE_ONLY_CALLS) {
           list.push(performance.now() - sentAt);
         }
       }
@@ -256,9 +256,9 @@
     agent.destroy();
     const added =
       summarize(times['/once']).median - summarize(times['/any']).median;
-    say(`a call that may repeat: ${describe(times['/any'])}`);
-    say(
-      `a once-only call: ${describe(times['/once'])}, added at the median ${added.toFixed(2)} ms`,
+    print(`a call that may repeat: ${formatTimes(times['/any'])}`);
+    print(
+      `a once-only call: ${formatTimes(times['/once'])}, added at the median ${added.toFixed(2)} ms`,
     );
   } finally {
     await fleet.close();
@@ -281,13 +281,13 @@
 }
 
 async function main(): Promise<void> {
-  say(
+  print(
     `node ${process.version}, ${cpus().length} cores, ${new Date().toISOString().slice(0, 10)}`,
   );
   await measureRepair();
   await measureLeaderChange();
   await measureControl();
-  await measureOnce();
+  await measureOnceOnly();
   await measureRecovery();
 }
 
--- a/bench/score_repairs.ts
+++ b/bench/score_repairs.ts
@@ -3,17 +3,17 @@
 import {Bundle} from '../src/protocol/bundle';
 import {computeDigest} from '../src/protocol/compute_digest';
 import {baselinePolicies} from './baseline_policies';
-import {failureScripts} from './failure_scripts';
+import {failureScenarios} from './failure_scenarios';
 import {
-  FailureScript,
+  FailureScenario,
   RepairPolicy,
   RepairScore,
-  VirtualFleet,
-} from './virtual_fleet';
+  FleetSimulator,
+} from './fleet_simulator';
 
 const DOMAINS = 6;
 const HOSTS_PER_DOMAIN = 17;
-const TOTAL_MS = 600_000;
+const SIMULATED_MS = 600_000;
 const USERS = {
   kura: {groupDowntime: 3, strandedAccelerators: 1},
   'tbilisi-linen': {groupDowntime: 1, strandedAccelerators: 3},
@@ -21,16 +21,16 @@
 
 const NO_FAILURE = {name: 'no failure', events: []};
 
-/** One user's scores on one failure sequence, by policy. */
+/** The scores of all policies in one failure scenario, under one operator's weights. */
 export interface ScoreRow {
   readonly user: string;
-  readonly script: string;
+  readonly scenario: string;
   readonly scores: Readonly<Record<string, RepairScore>>;
-  /** Cost of the same time without any failure: spares are idle then, too. */
-  readonly floor: number;
+  /** Cost of a run without failures; not zero, since idle spares count as stranded. */
+  readonly failureFreeCost: number;
 }
 
-/** Scores the planner and both baselines on every sequence, for both users. */
+/** Scores the planner and both baseline policies in every scenario, under both operators' weights. */
 export function scoreRepairs(): ScoreRow[] {
   const planner = {plan: planGroups, planStandby};
   const policies = {planner, ...baselinePolicies};
@@ -49,17 +49,17 @@
       domains: DOMAINS,
       hostsPerDomain: HOSTS_PER_DOMAIN,
     };
-    const play = (policy: RepairPolicy, script: FailureScript) =>
-      VirtualFleet.play({...options, policy}, script, TOTAL_MS);
-    const floor = play(planner, NO_FAILURE).cost;
-    return failureScripts.map(script => ({
+    const simulate = (policy: RepairPolicy, scenario: FailureScenario) =>
+      FleetSimulator.run({...options, policy}, scenario, SIMULATED_MS);
+    const failureFreeCost = simulate(planner, NO_FAILURE).cost;
+    return failureScenarios.map(scenario => ({
       user,
-      script: script.name,
-      floor,
+      scenario: scenario.name,
+      failureFreeCost,
       scores: Object.fromEntries(
         Object.entries(policies).map(([name, policy]) => [
           name,
-          play(policy, script),
+          simulate(policy, scenario),
         ]),
       ),
     }));
--- a/bench/light_fleet.ts
+++ b/bench/session_load_generator.ts
@@ -1,4 +1,4 @@
-/** Many host and entry sessions against control, in one process: no engines, no work. */
+/** Loads control with many host and entry sessions from one process, without engines or requests. */
 import {Message} from '../src/protocol/message';
 import {MessageOf} from '../src/protocol/message_of';
 import {messageCodec} from '../src/protocol/message_codec';
@@ -7,24 +7,24 @@
 import {Peer} from '../src/protocol/peer';
 import {FrameServer} from '../src/transport/frame_server';
 
-const HOST_REPORT_MS = 300;
-const ENTRY_REPORT_MS = 250;
-const REPORT_CLOCK_MS = 1_000;
+const HOST_REPORT_INTERVAL_MS = 300;
+const ENTRY_REPORT_INTERVAL_MS = 250;
+const CLOCK_MESSAGE_INTERVAL_MS = 1_000;
 const HOSTS_PER_GROUP = 8;
 const FRAME_HEADER_BYTES = 4;
 
-/** Traffic as seen from the sessions. */
+/** Traffic as counted by the sessions. */
 interface Traffic {
   sentBytes: number;
   receivedBytes: number;
   answers: number;
 }
 
-/** A fleet that only talks to control. */
-export class LightFleet {
+/** Simulated hosts and entries that report to control and obey its directives. */
+export class SessionLoadGenerator {
   readonly traffic: Traffic = {sentBytes: 0, receivedBytes: 0, answers: 0};
-  /** Newest bundle version each session was told. */
-  readonly versions = new Map<string, number>();
+  /** The bundle version in the latest directive to each session. */
+  readonly bundleVersions = new Map<string, number>();
   private readonly peers: Peer[] = [];
   private readonly servers: FrameServer[] = [];
   private readonly timers: NodeJS.Timeout[] = [];
@@ -32,12 +32,16 @@
 
   private constructor(private readonly leader: string) {}
 
-  /** Creates an empty fleet that talks to the leader at this address. */
-  static create(leader: string): LightFleet {
-    return new LightFleet(leader);
+  /**
+   * Creates a generator without sessions.
+   *
+   * @param leader address of the control leader
+   */
+  static create(leader: string): SessionLoadGenerator {
+    return new SessionLoadGenerator(leader);
   }
 
-  /** Adds hosts `from` to `to`, eight in each fabric domain. */
+  /** Adds hosts `from` to `to` (exclusive), eight in each fabric domain. */
   async addHosts(from: number, to: number): Promise<void> {
     for (let at = from; at < to; at += 1) {
       await this.addHost(
@@ -48,7 +52,7 @@
     }
   }
 
-  /** Adds entries `from` to `to`. */
+  /** Adds entries `from` to `to` (exclusive). */
   async addEntries(from: number, to: number): Promise<void> {
     for (let at = from; at < to; at += 1) {
       await this.addEntry(`entry-${at}`);
@@ -77,12 +81,12 @@
         if (message.type === 'host-directive') {
           group = message.group === undefined ? group : message.group;
           bundleVersion = message.bundleVersion;
-          this.versions.set(hostId, bundleVersion);
+          this.bundleVersions.set(hostId, bundleVersion);
         }
       },
     );
-    this.repeat(HOST_REPORT_MS, call => {
-      const isFirst = group?.members[0].hostId === hostId;
+    this.scheduleReports(HOST_REPORT_INTERVAL_MS, call => {
+      const isFirstMember = group?.members[0].hostId === hostId;
       this.send(peer, {
         type: 'host-report',
         call,
@@ -96,7 +100,7 @@
           isLeaving: false,
           assignment: group && {groupId: group.id, epoch: group.epoch},
           told: group && {fencing: group.fencing, isDraining: group.isDraining},
-          isServing: isFirst,
+          isServing: isFirstMember,
           missing: [],
           running: 0,
           isDrained: false,
@@ -113,10 +117,10 @@
     const peer = await this.connect(identity, message => {
       if (message.type === 'entry-directive') {
         ({bundleVersion, tableVersion} = message);
-        this.versions.set(entryId, bundleVersion);
+        this.bundleVersions.set(entryId, bundleVersion);
       }
     });
-    this.repeat(ENTRY_REPORT_MS, call => {
+    this.scheduleReports(ENTRY_REPORT_INTERVAL_MS, call => {
       this.send(peer, {
         type: 'entry-report',
         call,
@@ -127,7 +131,7 @@
     });
   }
 
-  /** Real entries connect here and are told the clock, as by a real first member. */
+  /** Accepts connections of real entries and sends them clock messages, as the first member of a group does. */
   private async listenForEntries(
     id: string,
     incarnation: string,
@@ -138,15 +142,15 @@
       onConnection: connection => {
         void Peer.create(connection, {program: 'host', id, incarnation})
           .then(peer => {
-            const report = () =>
+            const sendClock = () =>
               peer.send({
                 type: 'clock',
                 incarnation,
                 now: performance.now(),
                 running: 0,
               });
-            report();
-            this.timers.push(setInterval(report, REPORT_CLOCK_MS));
+            sendClock();
+            this.timers.push(setInterval(sendClock, CLOCK_MESSAGE_INTERVAL_MS));
           })
           .catch(() => undefined);
       },
@@ -172,8 +176,11 @@
     return peer;
   }
 
-  /** Spreads the sessions over the period, as independent processes would be. */
-  private repeat(periodMs: number, report: (call: number) => void): void {
+  /** Repeats a report with a random phase, since independent processes are not synchronised either. */
+  private scheduleReports(
+    periodMs: number,
+    report: (call: number) => void,
+  ): void {
     let call = 0;
     setTimeout(() => {
       if (!this.isClosed) {
--- a/bench/bench_fleet.ts
+++ b/bench/start_bench_fleet.ts
@@ -1,13 +1,13 @@
-/** A fleet whose stand-ins are processes of their own, so that they cost nobody else. */
+/** Starts a fleet whose stand-in backend servers run in processes of their own, so that their load falls on no measured process. */
 import {Bundle} from '../src/protocol/bundle';
 import {computeDigest} from '../src/protocol/compute_digest';
 import {ManagedProcess} from '../test/support/managed_process';
 import {TestFleet} from '../test/support/test_fleet';
 
-/** The key of the one workspace. */
+/** API key of the only workspace. */
 const BENCH_KEY = 'bench-key';
 
-/** A running fleet and the addresses of its stand-ins. */
+/** A running fleet and the processes of its stand-ins. */
 interface BenchFleet {
   readonly fleet: TestFleet;
   readonly key: string;
@@ -15,15 +15,15 @@
   readonly close: () => Promise<void>;
 }
 
-/** How large the fleet is. */
+/** Size of the fleet and speed of its stand-ins. */
 interface BenchFleetOptions {
   readonly replicas: number;
   readonly services: number;
-  /** Milliseconds between tokens of the stand-ins. */
+  /** Milliseconds between two tokens of a stand-in. */
   readonly tokenMs: number;
 }
 
-/** Starts a fleet of single-host replicas with stand-ins in their own processes. */
+/** Starts a fleet of single-host replicas and waits until all groups serve and the entry is ready. */
 export async function startBenchFleet(
   options: BenchFleetOptions,
 ): Promise<BenchFleet> {
--- a/bench/stream_client.ts
+++ b/bench/time_stream.ts
@@ -1,9 +1,9 @@
-/** A caller that notes when each token of a streamed answer came. */
+/** A client that measures the arrival times of the tokens of a streamed response. */
 import * as http from 'node:http';
 
-const TOKEN_MARK = '"content"';
+const TOKEN_FIELD = '"content"';
 
-/** Where to ask and for how much. */
+/** Target of the request and number of tokens to ask for. */
 interface StreamOptions {
   readonly url: string;
   readonly key?: string;
@@ -12,7 +12,7 @@
   readonly agent: http.Agent;
 }
 
-/** Times in milliseconds. */
+/** Arrival times in milliseconds, and whether the stream ended with its end marker. */
 interface StreamTimes {
   readonly firstTokenMs: number;
   readonly gapsMs: readonly number[];
@@ -20,7 +20,7 @@
   readonly isWhole: boolean;
 }
 
-/** Sends one request and times its tokens. */
+/** Sends one request and measures the time to the first token and the gaps between tokens. */
 export function timeStream(options: StreamOptions): Promise<StreamTimes> {
   const body = JSON.stringify({
     model: options.model,
@@ -45,14 +45,14 @@
         let firstTokenMs = 0;
         let lastAt = 0;
         let tokens = 0;
-        let tail = '';
+        let lastChunk = '';
         const gapsMs: number[] = [];
         response.on('data', (chunk: Buffer) => {
           const now = performance.now();
           const text = chunk.toString('latin1');
-          const count = text.split(TOKEN_MARK).length - 1;
+          const count = text.split(TOKEN_FIELD).length - 1;
           if (count === 0) {
-            tail = text;
+            lastChunk = text;
             return;
           }
           if (tokens === 0) {
@@ -62,11 +62,11 @@
           }
           lastAt = now;
           tokens += count;
-          tail = text;
+          lastChunk = text;
         });
         response.on('end', () => {
           const isWhole =
-            response.statusCode === 200 && tail.endsWith('[DONE]\n\n');
+            response.statusCode === 200 && lastChunk.endsWith('[DONE]\n\n');
           resolve({firstTokenMs, gapsMs, tokens, isWhole});
         });
         response.on('error', reject);
--- a/test/platform/backend_starts.test.ts
+++ b/test/platform/backend_restarts.test.ts
@@ -4,10 +4,10 @@
 import {tmpdir} from 'node:os';
 import * as path from 'node:path';
 import {afterEach, describe, expect, test} from 'vitest';
-import {callerHeaders} from '../../platform/caller_headers';
+import {platformHttpDialect} from '../../platform/platform_http_dialect';
 import {decodeRegistration} from '../../platform/decode_registration';
 import {engineClient} from '../../platform/engine_client';
-import {engineIdentity} from '../../platform/engine_identity';
+import {engineIncarnation} from '../../platform/engine_incarnation';
 import {OperatorApi} from '../../platform/operator_api';
 import {EventRing} from '../../src/common/event_ring';
 import {systemClock} from '../../src/common/system_clock';
@@ -50,8 +50,8 @@
     ['i@1', undefined],
     ['i@1', 5],
   ])('of %s born %s leads back to the id', (id, born) => {
-    const incarnation = engineIdentity.format(id, born);
-    expect(engineIdentity.findId(incarnation)).toBe(id);
+    const incarnation = engineIncarnation.format(id, born);
+    expect(engineIncarnation.getId(incarnation)).toBe(id);
   });
 
   test('is another one for each time of a start', () => {
@@ -71,8 +71,8 @@
       promptTokens: 0,
       forwardedHeaders: [],
     };
-    const incarnation = engineIdentity.format('i-1', 1_000);
-    expect(callerHeaders.createHeaders(request, {incarnation})).toEqual([
+    const incarnation = engineIncarnation.format('i-1', 1_000);
+    expect(platformHttpDialect.createHeaders(request, {incarnation})).toEqual([
       'x-whinreel-expect-instance',
       'i-1',
     ]);
--- a/test/platform/translation.test.ts
+++ b/test/platform/translation.test.ts
@@ -3,7 +3,7 @@
 import {tmpdir} from 'node:os';
 import * as path from 'node:path';
 import {describe, expect, test} from 'vitest';
-import {callerHeaders} from '../../platform/caller_headers';
+import {platformHttpDialect} from '../../platform/platform_http_dialect';
 import {decodeConfiguration} from '../../platform/decode_configuration';
 import {decodeRegistration} from '../../platform/decode_registration';
 import {readSettings} from '../../platform/read_settings';
@@ -155,7 +155,9 @@
   function read(headers: Record<string, string>) {
     const rawHeaders = Object.entries(headers).flat();
     const message = {headers, rawHeaders, method: 'POST', url: '/a/b?c'};
-    return callerHeaders.readRequest(message as unknown as IncomingMessage);
+    return platformHttpDialect.readRequest(
+      message as unknown as IncomingMessage,
+    );
   }
 
   const sent = {
@@ -187,7 +189,7 @@
       throw new Error(request);
     }
     const marks = {incarnation: 'i', workspace: 'w', remainingMs: 800};
-    const headers = callerHeaders.createHeaders(request, marks);
+    const headers = platformHttpDialect.createHeaders(request, marks);
     const map = new Map<string, string>();
     for (let at = 0; at < headers.length; at += 2) {
       expect(map.has(headers[at])).toBe(false);
@@ -203,7 +205,7 @@
   });
 
   test('of an answer tell what it is worth', () => {
-    const head = callerHeaders.readAnswer(503, {
+    const head = platformHttpDialect.readAnswer(503, {
       'x-whinreel-not-executed': '1',
       'x-whinreel-request-id': 'q',
       'content-length': '0',
@@ -214,7 +216,9 @@
       isSealed: false,
       isFramed: true,
     });
-    expect(callerHeaders.readAnswer(421, {}).isOtherIncarnation).toBe(true);
+    expect(platformHttpDialect.readAnswer(421, {}).isOtherIncarnation).toBe(
+      true,
+    );
   });
 
   test.each([
@@ -227,7 +231,7 @@
     ['soon', undefined],
     ['9999999999999', undefined],
   ])('of an answer tell a limit of %s', (text, perSecond) => {
-    const head = callerHeaders.readAnswer(200, {'server-limit': text});
+    const head = platformHttpDialect.readAnswer(200, {'server-limit': text});
     expect(head.limitPerSecond).toBe(perSecond);
     const isUnread = perSecond === undefined;
     expect(head.unread).toBe(isUnread ? `server-limit: ${text}` : undefined);
@@ -241,7 +245,7 @@
     [429, '3', undefined],
     [200, '3', undefined],
   ])('of an answer with %d ask for rest of %s s', (status, text, restMs) => {
-    const head = callerHeaders.readAnswer(status, {'retry-after': text});
+    const head = platformHttpDialect.readAnswer(status, {'retry-after': text});
     expect(head.restMs).toBe(restMs);
   });
 
@@ -250,7 +254,7 @@
     ['0', false],
     ['yes', false],
   ])('of an answer that say %s of leaving', (text, isLeaving) => {
-    const head = callerHeaders.readAnswer(200, {'server-leaving': text});
+    const head = platformHttpDialect.readAnswer(200, {'server-leaving': text});
     expect(head.isLeaving).toBe(isLeaving);
   });
 });
