--- a/bench/failure_scenarios.ts
+++ b/bench/failure_scenarios.ts
@@ -51,7 +51,7 @@
     events: createFailure('d0h0', 10_000, 'crash'),
   },
   {
-    name: 'two groups of one domain createFailure a member for good, one spare',
+    name: 'two groups of one domain lose a member for good, one spare',
     events: [
       ...createFailure('d0h0', 10_000, 'crash'),
       ...createFailure('d0h5', 20_000, 'crash'),
--- a/demo/run.ts
+++ b/demo/run.ts
@@ -1,6 +1,7 @@
 /**
- * Starts a small fleet for each of the two users on loopback, rolls out their
- * example bundles, sends real requests, shows what was decided, stops it all.
+ * For each of the two example operators: starts a small fleet on loopback, rolls out
+ * the example bundle, sends real requests, prints the journal of control and the
+ * status of the fleet, and stops all processes.
  */
 import * as path from 'node:path';
 import {Bundle} from '../src/protocol/bundle';
@@ -10,19 +11,19 @@
 
 const EXAMPLES = path.resolve(__dirname, '../../examples');
 
-interface Scene {
+interface Scenario {
   readonly file: string;
   readonly key: string;
   readonly question: string;
-  readonly serviceCall: {readonly path: string; readonly body: string};
+  readonly serviceRequest: {readonly path: string; readonly body: string};
 }
 
-const SCENES: readonly Scene[] = [
+const SCENARIOS: readonly Scenario[] = [
   {
     file: 'kura.yaml',
     key: 'demo-key-saburtalo',
     question: 'Explain the pressure drop at valve chamber 12.',
-    serviceCall: {
+    serviceRequest: {
       path: '/services/logger-config/digests',
       body: '{"digest":"night"}',
     },
@@ -31,27 +32,27 @@
     file: 'tbilisi-linen.yaml',
     key: 'demo-key-hotel',
     question: 'Draft the pickup schedule for tomorrow.',
-    serviceCall: {
+    serviceRequest: {
       path: '/services/dispatch/pickups',
       body: '{"hotel":"A","time":"07:30"}',
     },
   },
 ];
 
-function say(text: string): void {
+function print(text: string): void {
   process.stdout.write(text);
 }
 
-async function step<T>(what: string, work: () => Promise<T>): Promise<T> {
-  say(`- ${what} ... `);
+async function runStep<T>(title: string, work: () => Promise<T>): Promise<T> {
+  print(`- ${title} ... `);
   const startedAt = performance.now();
   try {
     const result = await work();
-    say(`done in ${Math.round(performance.now() - startedAt)} ms\n`);
+    print(`done in ${Math.round(performance.now() - startedAt)} ms\n`);
     return result;
   } catch (error) {
-    say('FAILED\n');
-    throw new Error(`step "${what}" failed: ${(error as Error).message}`);
+    print('FAILED\n');
+    throw new Error(`step "${title}" failed: ${(error as Error).message}`);
   }
 }
 
@@ -76,23 +77,23 @@
   return [...hosts, ...services];
 }
 
-async function playScene(scene: Scene): Promise<void> {
-  const bundle = readBundleFile(path.join(EXAMPLES, scene.file));
-  say(`\n== ${bundle.operator} ==\n`);
+async function runScenario(scenario: Scenario): Promise<void> {
+  const bundle = readBundleFile(path.join(EXAMPLES, scenario.file));
+  print(`\n== ${bundle.operator} ==\n`);
   const hosts = planHosts(bundle);
-  const fleet = await step(
+  const fleet = await runStep(
     `start 3 control, ${hosts.length} host and 2 entry processes`,
     () => TestFleet.create({entries: 2, hosts}),
   );
   try {
-    await playRequests(scene, bundle, fleet);
+    await runRequests(scenario, bundle, fleet);
   } finally {
-    await step('stop every process', () => fleet.close());
+    await runStep('stop every process', () => fleet.close());
   }
 }
 
-async function playRequests(
-  scene: Scene,
+async function runRequests(
+  scenario: Scenario,
   bundle: Bundle,
   fleet: TestFleet,
 ): Promise<void> {
@@ -100,35 +101,37 @@
     (sum, {replicas}) => sum + replicas,
     0,
   );
-  await step(`roll out version ${bundle.version}`, async () => {
+  await runStep(`roll out version ${bundle.version}`, async () => {
     const {answer} = await fleet.rollOut(bundle);
     if (!answer.isAccepted) {
       throw new Error(answer.reason);
     }
   });
-  await step(`wait until ${count} groups serve`, () =>
+  await runStep(`wait until ${count} groups serve`, () =>
     fleet.waitForServing(count),
   );
-  await step('wait until both entries are ready', () => fleet.waitForReady());
+  await runStep('wait until both entries are ready', () =>
+    fleet.waitForReady(),
+  );
   const headers = {
-    authorization: `Bearer ${scene.key}`,
+    authorization: `Bearer ${scenario.key}`,
     'content-type': 'application/json',
   };
-  say(`- ask: ${scene.question}\n  answer: `);
-  await streamAnswer(fleet, bundle.models[0].name, scene.question, headers);
-  await step(
+  print(`- ask: ${scenario.question}\n  answer: `);
+  await streamAnswer(fleet, bundle.models[0].name, scenario.question, headers);
+  await runStep(
     'one call that must run at most once, sent twice with one key',
     async () => {
-      await callTwice(scene, fleet, headers);
+      await sendTwice(scenario, fleet, headers);
     },
   );
-  say('\nwhat control decided:\n');
-  const reporter = TextReporter.create(say);
+  print('\nwhat control decided:\n');
+  const reporter = TextReporter.create(print);
   reporter.report({
     type: 'journal',
     entries: await fleet.operator.readJournal({after: 0}),
   });
-  say('\n');
+  print('\n');
   reporter.report({type: 'status', status: await fleet.operator.readStatus()});
 }
 
@@ -156,30 +159,31 @@
   for await (const chunk of response.body) {
     const text = decoder.decode(chunk as Uint8Array, {stream: true});
     for (const [, token] of text.matchAll(/"content":"([^"]*)"/g)) {
-      say(token);
+      print(token);
     }
   }
-  say(`\n  request ${response.headers.get('whinreel-request-id')}\n`);
+  print(`\n  request ${response.headers.get('whinreel-request-id')}\n`);
 }
 
-async function callTwice(
-  scene: Scene,
+async function sendTwice(
+  scenario: Scenario,
   fleet: TestFleet,
   headers: Record<string, string>,
 ): Promise<void> {
   const send = (entryId: string) =>
-    fetch(`${fleet.entryUrl(entryId)}${scene.serviceCall.path}`, {
+    fetch(`${fleet.entryUrl(entryId)}${scenario.serviceRequest.path}`, {
       method: 'POST',
       headers: {...headers, 'idempotency-key': 'demo-1'},
-      body: scene.serviceCall.body,
+      body: scenario.serviceRequest.body,
     });
   const first = await send('entry-1');
   const second = await send('entry-2');
   const runs = [...fleet.engines.values()].reduce(
-    (sum, engine) => sum + (engine.runsByBody.get(scene.serviceCall.body) ?? 0),
+    (sum, engine) =>
+      sum + (engine.runsByBody.get(scenario.serviceRequest.body) ?? 0),
     0,
   );
-  say(
+  print(
     `\n  first: ${first.status} ${first.headers.get('whinreel-outcome')}, ` +
       `second at the other entry: ${second.status} ${second.headers.get('whinreel-outcome')}, ` +
       `runs: ${runs}\n  `,
@@ -190,10 +194,10 @@
 }
 
 async function main(): Promise<void> {
-  for (const scene of SCENES) {
-    await playScene(scene);
+  for (const scenario of SCENARIOS) {
+    await runScenario(scenario);
   }
-  say('\nall steps done, nothing is left running\n');
+  print('\nall steps done, nothing is left running\n');
 }
 
 main().catch((error: Error) => {
--- a/test/platform/backend_restarts.test.ts
+++ b/test/platform/backend_restarts.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Checks how a restarted backend server is told apart from its previous start, and
+ * that an invalid registration is refused without effect on others.
+ */
 import {mkdtempSync} from 'node:fs';
 import * as http from 'node:http';
 import {AddressInfo} from 'node:net';
@@ -43,18 +47,18 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-describe('the identity of a start', () => {
+describe('an incarnation', () => {
   test.each([
     ['i-1', 1_000],
     ['i-1', undefined],
     ['i@1', undefined],
     ['i@1', 5],
-  ])('of %s born %s leads back to the id', (id, born) => {
+  ])('of %s born %s yields the id', (id, born) => {
     const incarnation = engineIncarnation.format(id, born);
     expect(engineIncarnation.getId(incarnation)).toBe(id);
   });
 
-  test('is another one for each time of a start', () => {
+  test('differs for each time of the start', () => {
     const decode = (born?: number) =>
       decodeRegistration('i-1', JSON.stringify({...WIRE, born}));
     expect(decode(1_000).incarnation).not.toBe(decode(2_000).incarnation);
@@ -62,7 +66,7 @@
     expect(decode().incarnation).toBe('i-1');
   });
 
-  test('goes onto the wire as the id alone', () => {
+  test('is sent to the backend server as its id alone', () => {
     const request = {
       id: 'q',
       host: 'h',
@@ -79,7 +83,7 @@
   });
 });
 
-describe('an engine that has started again under its id', () => {
+describe('an engine that has restarted under the same id', () => {
   async function startEngine(born: number) {
     const orders: string[] = [];
     const address = await listen((request, response) => {
@@ -110,7 +114,7 @@
     },
   });
 
-  test('gets no order that was for the start before, and does not answer for it', async () => {
+  test('gets no order for its previous incarnation, and a probe of that one fails', async () => {
     const {address, orders} = await startEngine(2_000);
     const answer = await engineClient.send(createCall(address));
     expect(answer).toEqual({outcome: 'unfit'});
@@ -119,15 +123,15 @@
     expect(await engineClient.probe(address, 'i-1@2000')).toBe(true);
   });
 
-  test('is given orders that name members by their ids', async () => {
+  test('gets orders that name members by their ids', async () => {
     const {address, orders} = await startEngine(1_000);
     await engineClient.send(createCall(address));
     expect(JSON.parse(orders[0])).toMatchObject({members: ['i-1', 'i-2']});
   });
 });
 
-describe('a registration of another writer', () => {
-  const RULES = {
+describe('an invalid registration from a backend server', () => {
+  const CONFIGURATION = {
     version: 1,
     routes: [],
     services: [{name: 'p', max_connections: 10}],
@@ -172,7 +176,7 @@
 
   async function put(address: string, where: string, body: string | Buffer) {
     const url = `http://${address}${where}`;
-    // A control process that has no leader yet says that another may do better.
+    // Status 503 means that the control process has no leader yet.
     for (;;) {
       const answer = await fetch(url, {method: 'PUT', body});
       await answer.text();
@@ -182,12 +186,14 @@
     }
   }
 
-  test('is refused with a line in the log, and changes nothing for the others', async () => {
+  test('is refused with a recorded event, and changes nothing for other backend servers', async () => {
     const {control, client, events, address} = await startControl();
     const register = (id: string, body: string | Buffer) =>
       put(address, `/v1/replicas/${id}`, body);
     const change = (changes: object) => JSON.stringify({...WIRE, ...changes});
-    expect(await put(address, '/v1/config', JSON.stringify(RULES))).toBe(200);
+    expect(
+      await put(address, '/v1/config', JSON.stringify(CONFIGURATION)),
+    ).toBe(200);
     expect(await register('i-1', change({}))).toBe(200);
 
     const refused = [
--- a/test/platform/launch.test.ts
+++ b/test/platform/launch.test.ts
@@ -1,6 +1,7 @@
 /**
- * Load: all processes start again at the same moment, each with half a core. A
- * program that was packed listened 0.3 to 0.5 s sooner there (one day's logs).
+ * Bundled programs start faster: when all processes restart at the same moment with
+ * half a core each, they listen 0.3 to 0.5 s sooner (from the logs of one day). The
+ * tests cover the launcher with a valid, a rejected and a missing V8 code cache.
  */
 import {spawnSync} from 'node:child_process';
 import {cpSync, mkdirSync, mkdtempSync, rmSync, writeFileSync} from 'node:fs';
@@ -36,22 +37,22 @@
   return {stdout, stderr};
 }
 
-const RAN = 'runs in packed\n';
+const EXPECTED_STDOUT = 'runs in packed\n';
 
-test('a packed program runs with the code that was compiled for it', () => {
+test('a bundled program runs with its V8 code cache', () => {
   launch([FLAG], '--write-code');
-  expect(launch([FLAG])).toEqual({stdout: RAN, stderr: ''});
+  expect(launch([FLAG])).toEqual({stdout: EXPECTED_STDOUT, stderr: ''});
 });
 
-test('a program whose code was compiled with other flags runs and says so', () => {
+test('a program whose code cache was written with other flags runs and logs it', () => {
   launch([FLAG], '--write-code');
   const {stdout, stderr} = launch(['--max-old-space-size=65']);
-  expect(stdout).toBe(RAN);
-  expect(stderr).toContain('the compiled code does not fit');
+  expect(stdout).toBe(EXPECTED_STDOUT);
+  expect(stderr).toContain('the V8 code cache was rejected');
 });
 
-test('a program without compiled code runs and says so', () => {
+test('a program without a code cache runs and logs it', () => {
   const {stdout, stderr} = launch([FLAG]);
-  expect(stdout).toBe(RAN);
-  expect(stderr).toContain('no compiled code');
+  expect(stdout).toBe(EXPECTED_STDOUT);
+  expect(stderr).toContain('cannot read the V8 code cache');
 });
--- a/test/platform/operator_api_drain.test.ts
+++ b/test/platform/operator_api_drain.test.ts
@@ -1,8 +1,8 @@
 /**
- * The same cause as in gateway/planned_stop, at the calls of operators and backend
- * servers: a control process that was told to stop closed every connection at
- * once, those of calls that it had read and passed on among them. Their callers
- * could not know whether they were carried out.
+ * Guards against calls that are cut off by a shutdown, as gateway/planned_stop does
+ * for requests: a stopping control process closed all connections at once, including
+ * those of calls that it had already forwarded to the leader, so that the operator or
+ * backend server could not know whether its call had been executed.
  */
 import * as http from 'node:http';
 import * as net from 'node:net';
@@ -23,8 +23,8 @@
   }
 });
 
-/** The calls of a control process that knows no leader, so each takes its whole time. */
-async function start() {
+/** Starts an API whose client finds no leader, so that each call runs into its timeout. */
+async function startApi() {
   const client = ControlClient.create({
     addresses: [`127.0.0.1:${await reservePort()}`],
     identity: {program: 'operator', id: 'test', incarnation: 'i'},
@@ -53,8 +53,8 @@
   return {api, server, read, countCalls: () => calls};
 }
 
-test('a call that was read before a stop is answered before the process ends', async () => {
-  const {api, server, read, countCalls} = await start();
+test('a call that was read before a shutdown is answered before the process ends', async () => {
+  const {api, server, read, countCalls} = await startApi();
   const called = read();
   await waitUntil('the call', () => countCalls() === 1);
   let isStopped = false;
@@ -69,12 +69,12 @@
   await stopped;
   const answer = await called;
   expect(answer).toMatchObject({status: 503});
-  // Its own answer, and not the refusal of a call that comes too late.
+  // The response to the call itself, not the refusal of a call that arrives during the shutdown.
   expect(answer.body).toContain('no control leader');
 });
 
-test('a call whose body never comes does not hold a stop', async () => {
-  const {api, server, countCalls} = await start();
+test('a call whose body never arrives does not block a shutdown', async () => {
+  const {api, server, countCalls} = await startApi();
   const {port} = server.address() as net.AddressInfo;
   const socket = net.connect(port, '127.0.0.1');
   closers.push(() => socket.destroy());
@@ -85,6 +85,6 @@
   await waitUntil('the call', () => countCalls() === 1);
   const end = await api.drain(() => server.close());
 
-  // It was not answered: the stop did not wait for it.
+  // The call was given up: the shutdown did not wait for its body.
   expect(end).toEqual({givenUp: 1});
 });
--- a/test/platform/sighup_during_startup.test.ts
+++ b/test/platform/sighup_during_startup.test.ts
@@ -1,8 +1,7 @@
 /**
- * Symptom: a program that is told to read its settings again while it starts ends
- * with SIGHUP, as if it had been killed.
- * Cause: until `watchSettings` runs, the last step of a start, nothing takes the
- * signal, and the system's own answer to it is to end the process.
+ * Guards against a program that dies of a SIGHUP sent during its start: the handler
+ * that reloads the settings was installed only by `watchSettings`, the last step of
+ * the start, and the default action of the signal ends the process.
  */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -11,8 +10,8 @@
 import {ManagedProcess} from '../support/managed_process';
 import {reservePort} from '../support/reserve_port';
 
-/** Sends the program the signal at the moment at which it begins to listen. */
-const HANG_UP_AT_LISTEN = `
+/** Preloaded script that sends SIGHUP to its own process at the first call of `listen`. */
+const SEND_SIGHUP_ON_LISTEN = `
 const {Server} = require('node:net');
 const {listen} = Server.prototype;
 Server.prototype.listen = function (...args) {
@@ -31,7 +30,7 @@
 });
 
 test.each(['entry', 'control'])(
-  'a starting %s that is told to read its settings again goes on',
+  '%s survives a SIGHUP during its start',
   async role => {
     const folder = mkdtempSync(path.join(tmpdir(), 'whinreel-hangup-'));
     closers.push(() => rmSync(folder, {recursive: true, force: true}));
@@ -39,7 +38,7 @@
       [1, 2, 3, 4].map(() => reservePort()),
     );
     const preload = path.join(folder, 'preload.cjs');
-    writeFileSync(preload, HANG_UP_AT_LISTEN);
+    writeFileSync(preload, SEND_SIGHUP_ON_LISTEN);
     const settings = path.join(folder, 'settings.toml');
     writeFileSync(
       settings,
--- a/test/platform/translation.test.ts
+++ b/test/platform/translation.test.ts
@@ -1,3 +1,4 @@
+/** Checks the translation between the formats of the platform and the messages of the product. */
 import {writeFileSync, mkdtempSync} from 'node:fs';
 import {IncomingMessage} from 'node:http';
 import {tmpdir} from 'node:os';
@@ -40,7 +41,7 @@
 }
 
 describe('the operator’s configuration', () => {
-  test('becomes rules, and keys become digests', () => {
+  test('is translated into rules, and API keys into digests', () => {
     const rules = decode({});
     expect(rules.routes[0]).toMatchObject({
       kind: 'stream',
@@ -52,12 +53,12 @@
     expect(JSON.stringify(rules)).not.toContain('"k"');
   });
 
-  test('without keys needs none', () => {
+  test('without tenants has no workspaces, and with an empty list an empty one', () => {
     expect(decode({tenants: undefined}).workspaces).toBeUndefined();
     expect(decode({tenants: []}).workspaces).toEqual([]);
   });
 
-  test('splits a route by weight', () => {
+  test('may split a route by weight', () => {
     const split = [
       {service: 's', weight: 90},
       {service: 't', weight: 10},
@@ -69,13 +70,13 @@
     ]);
   });
 
-  const twice = [ROUTE, {...ROUTE, name: 'q', host: 'h.example'}];
-  const weightless = [{...ROUTE, traffic_split: [{service: 's', weight: 0}]}];
-  const shared = [
+  const conflicting = [ROUTE, {...ROUTE, name: 'q', host: 'h.example'}];
+  const zeroWeights = [{...ROUTE, traffic_split: [{service: 's', weight: 0}]}];
+  const sharedKey = [
     {name: 'w', api_keys: ['k']},
     {name: 'x', api_keys: ['k']},
   ];
-  const wrong: Array<[string, object, string]> = [
+  const invalid: Array<[string, object, string]> = [
     [
       'an unknown service',
       {routes: [{...ROUTE, service: 'u'}]},
@@ -86,20 +87,24 @@
       {routes: [{...ROUTE, service: undefined}]},
       'route r names no pool',
     ],
-    ['two routes at one place', {routes: twice}, 'two routes'],
-    ['weights that add up to 0', {routes: weightless}, 'add up to 0'],
-    ['no time', {routes: [{...ROUTE, timeout_ms: 0}]}, 'timeout_ms'],
-    ['a key of two workspaces', {tenants: shared}, 'share a key'],
+    [
+      'two routes with the same host and path',
+      {routes: conflicting},
+      'two routes',
+    ],
+    ['weights that add up to 0', {routes: zeroWeights}, 'add up to 0'],
+    ['a timeout of 0', {routes: [{...ROUTE, timeout_ms: 0}]}, 'timeout_ms'],
+    ['a key of two workspaces', {tenants: sharedKey}, 'share a key'],
     ['no version', {version: undefined}, 'version'],
   ];
-  test.each(wrong)(
-    'with %s is refused with the reason',
+  test.each(invalid)(
+    'with %s is refused with a reason',
     (_, changes, reason) => {
       expect(() => decode(changes)).toThrow(reason);
     },
   );
 
-  test('that breaks off is refused', () => {
+  test('that is truncated is refused', () => {
     const text = JSON.stringify(CONFIGURATION).slice(0, -5);
     expect(() => decodeConfiguration(text)).toThrow('no JSON');
   });
@@ -121,7 +126,7 @@
     group: {name: 'g', epoch: 3, rank: 1, state: 'ready'},
   };
 
-  test('becomes what the product knows of a backend server', () => {
+  test('is translated into the product’s registration', () => {
     expect(decodeRegistration('i', JSON.stringify(wire))).toEqual({
       name: 'i',
       incarnation: 'i',
@@ -145,7 +150,7 @@
     expect(registration.group).toBeUndefined();
   });
 
-  test('that lacks its state is refused with the field', () => {
+  test('without a state is refused with the name of the field', () => {
     const text = JSON.stringify({...wire, state: undefined});
     expect(() => decodeRegistration('i', text)).toThrow('state');
   });
@@ -172,7 +177,7 @@
     'x-other': '2',
   };
 
-  test('of a caller are read', () => {
+  test('of a request are decoded', () => {
     expect(read(sent)).toMatchObject({
       id: 'q',
       host: 'h.example',
@@ -183,13 +188,13 @@
     expect(read({host: 'h'})).toMatch('is missing');
   });
 
-  test('go on without the key and with what the gateway sets itself', () => {
+  test('are forwarded without the API key and with those that the gateway sets', () => {
     const request = read(sent);
     if (typeof request === 'string') {
       throw new Error(request);
     }
-    const marks = {incarnation: 'i', workspace: 'w', remainingMs: 800};
-    const headers = platformHttpDialect.createHeaders(request, marks);
+    const dispatch = {incarnation: 'i', workspace: 'w', remainingMs: 800};
+    const headers = platformHttpDialect.createHeaders(request, dispatch);
     const map = new Map<string, string>();
     for (let at = 0; at < headers.length; at += 2) {
       expect(map.has(headers[at])).toBe(false);
@@ -204,7 +209,7 @@
     expect(map.has('x-hop')).toBe(false);
   });
 
-  test('of an answer tell what it is worth', () => {
+  test('of a response tell whether the request has run and may be retried', () => {
     const head = platformHttpDialect.readAnswer(503, {
       'x-whinreel-not-executed': '1',
       'x-whinreel-request-id': 'q',
@@ -230,12 +235,15 @@
     ['3,7', undefined],
     ['soon', undefined],
     ['9999999999999', undefined],
-  ])('of an answer tell a limit of %s', (text, perSecond) => {
-    const head = platformHttpDialect.readAnswer(200, {'server-limit': text});
-    expect(head.limitPerSecond).toBe(perSecond);
-    const isUnread = perSecond === undefined;
-    expect(head.unread).toBe(isUnread ? `server-limit: ${text}` : undefined);
-  });
+  ])(
+    'of a response with a server limit of %s are decoded',
+    (text, perSecond) => {
+      const head = platformHttpDialect.readAnswer(200, {'server-limit': text});
+      expect(head.limitPerSecond).toBe(perSecond);
+      const isUnread = perSecond === undefined;
+      expect(head.unread).toBe(isUnread ? `server-limit: ${text}` : undefined);
+    },
+  );
 
   test.each([
     [503, '3', 3_000],
@@ -244,16 +252,21 @@
     [503, '-3', undefined],
     [429, '3', undefined],
     [200, '3', undefined],
-  ])('of an answer with %d ask for rest of %s s', (status, text, restMs) => {
-    const head = platformHttpDialect.readAnswer(status, {'retry-after': text});
-    expect(head.restMs).toBe(restMs);
-  });
+  ])(
+    'of a response with status %d and retry-after %s are decoded',
+    (status, text, restMs) => {
+      const head = platformHttpDialect.readAnswer(status, {
+        'retry-after': text,
+      });
+      expect(head.restMs).toBe(restMs);
+    },
+  );
 
   test.each([
     ['1', true],
     ['0', false],
     ['yes', false],
-  ])('of an answer that say %s of leaving', (text, isLeaving) => {
+  ])('of a response with server-leaving %s are decoded', (text, isLeaving) => {
     const head = platformHttpDialect.readAnswer(200, {'server-leaving': text});
     expect(head.isLeaving).toBe(isLeaving);
   });
@@ -285,15 +298,15 @@
     return readSettings({WHINREEL_NODE_FILE: file});
   }
 
-  test('is read, and fields that nobody knows are skipped', () => {
+  test('is read, and unknown fields are ignored', () => {
     expect(read(text)).toMatchObject({node_name: 'front-1', bootstrap: true});
   });
 
   test.each([
-    ['a field that is missing', text.replace('zone = "z"', ''), 'zone'],
-    ['a wrong field', text.replace('8229"', '"'), 'seeds.0'],
-    ['broken text', 'zone = ', 'cannot read'],
-  ])('with %s ends in one clear line', (_, content, reason) => {
+    ['a missing field', text.replace('zone = "z"', ''), 'zone'],
+    ['a invalid field', text.replace('8229"', '"'), 'seeds.0'],
+    ['invalid TOML', 'zone = ', 'cannot read'],
+  ])('with %s is refused with an error of one line', (_, content, reason) => {
     expect(() => read(content)).toThrow(reason);
     try {
       read(content);
@@ -302,7 +315,7 @@
     }
   });
 
-  test('must be named', () => {
+  test('must be named by the environment', () => {
     expect(() => readSettings({})).toThrow('WHINREEL_NODE_FILE');
   });
 });
--- a/tools/check_platform_names.ts
+++ b/tools/check_platform_names.ts
@@ -1,13 +1,13 @@
 /**
- * Checks that no name of the platform stands outside `platform/`: its header
- * names and the fields of its messages, gathered from that folder itself.
+ * Checks that the names of the platform, its header names and message fields, occur
+ * only in `platform/`. The names are collected from that folder.
  */
 import {readFileSync, readdirSync} from 'node:fs';
 import * as path from 'node:path';
 
 const ROOT = path.resolve(__dirname, '../..');
 const HEADER = /'(x-whinreel-[a-z-]+)'/g;
-/** Fields are snake case, which the project's own names never are. */
+/** Field names are in snake case, unlike all names of the project itself. */
 const FIELD = /\b([a-z]+(?:_[a-z0-9]+)+)\b/g;
 const IMPORT_LINE = /^(import .*|} from) .*;$|^} from '.*';$/;
 
@@ -21,14 +21,14 @@
   });
 }
 
-/** The lines of a file that import nothing: module names are snake case, too. */
+/** Lines of a file without its imports, since module names are in snake case as well. */
 function listLines(file: string): string[] {
   return readFileSync(file, 'utf8')
     .split('\n')
     .filter(line => !IMPORT_LINE.test(line));
 }
 
-function gatherNames(): Set<string> {
+function collectNames(): Set<string> {
   const names = new Set<string>();
   for (const file of listFiles(path.join(ROOT, 'platform'))) {
     for (const line of listLines(file)) {
@@ -41,7 +41,7 @@
 }
 
 function main(): void {
-  const names = gatherNames();
+  const names = collectNames();
   let count = 0;
   for (const file of listFiles(path.join(ROOT, 'src'))) {
     listLines(file).forEach(line => {
--- a/tools/check_style.ts
+++ b/tools/check_style.ts
@@ -1,6 +1,7 @@
 /**
- * Checks what the linter does not: file names in snake case, one export a file,
- * doc comments on exports, and function names that begin with a listed verb.
+ * Checks style rules that the linter does not cover: file names in snake case, one
+ * export per file, doc comments on exports, and function names that begin with a
+ * verb of docs/VERBS.md.
  */
 import {readFileSync, readdirSync} from 'node:fs';
 import * as path from 'node:path';
@@ -38,7 +39,7 @@
   );
 }
 
-function findNames(statement: ts.Statement): string[] {
+function listDeclaredNames(statement: ts.Statement): string[] {
   if (ts.isVariableStatement(statement)) {
     return statement.declarationList.declarations.map(declaration =>
       declaration.name.getText(),
@@ -56,22 +57,22 @@
 
 function checkExports(
   source: ts.SourceFile,
-  complain: (message: string) => void,
+  report: (message: string) => void,
 ): void {
   const exported = source.statements.filter(isExported);
-  const names = new Set(exported.flatMap(findNames));
+  const names = new Set(exported.flatMap(listDeclaredNames));
   if (names.size > 1) {
-    complain(`exports ${[...names].join(', ')}: one export a file`);
+    report(`exports ${[...names].join(', ')}: one export a file`);
   }
   const isDocumented = exported.some(node => hasDocComment(node, source));
   const startsWithDoc = source.text.replace(/^#!.*\n/, '').startsWith('/**');
   if (!isDocumented && !startsWithDoc) {
-    complain('has no doc comment on its export or at its top');
+    report('has no doc comment on its export or at its top');
   }
   for (const node of exported) {
     const isFunction = ts.isFunctionDeclaration(node);
     if (isFunction && !node.getFullText(source).includes('@example')) {
-      complain(`${node.name?.getText()} has no @example`);
+      report(`${node.name?.getText()} has no @example`);
     }
   }
 }
@@ -79,25 +80,25 @@
 function checkVerbs(
   source: ts.SourceFile,
   verbs: ReadonlySet<string>,
-  complain: (message: string) => void,
+  report: (message: string) => void,
 ): void {
-  const visit = (node: ts.Node) => {
+  const visitNode = (node: ts.Node) => {
     const isNamed =
       ts.isFunctionDeclaration(node) || ts.isMethodDeclaration(node);
     if (isNamed && node.name && ts.isIdentifier(node.name)) {
       const verb = /^[a-z]+/.exec(node.name.text)?.[0] ?? '';
       if (!verbs.has(verb)) {
-        complain(`${node.name.text}: "${verb}" is not a verb of docs/VERBS.md`);
+        report(`${node.name.text}: "${verb}" is not a verb of docs/VERBS.md`);
       }
     }
-    ts.forEachChild(node, visit);
+    ts.forEachChild(node, visitNode);
   };
-  visit(source);
+  visitNode(source);
 }
 
 function main(): void {
   const verbs = readVerbs();
-  const complaints: string[] = [];
+  const violations: string[] = [];
   const files = ['src', 'platform'].flatMap(folder =>
     listFiles(path.join(ROOT, folder)),
   );
@@ -108,17 +109,17 @@
       ts.ScriptTarget.ES2022,
       true,
     );
-    const complain = (message: string) => {
-      complaints.push(`${path.relative(ROOT, file)}: ${message}`);
+    const report = (message: string) => {
+      violations.push(`${path.relative(ROOT, file)}: ${message}`);
     };
     if (!SNAKE_CASE.test(path.basename(file))) {
-      complain('the file name is not in snake case');
+      report('the file name is not in snake case');
     }
-    checkExports(source, complain);
-    checkVerbs(source, verbs, complain);
+    checkExports(source, report);
+    checkVerbs(source, verbs, report);
   }
-  complaints.forEach(complaint => process.stderr.write(`${complaint}\n`));
-  process.exitCode = complaints.length === 0 ? 0 : 1;
+  violations.forEach(violation => process.stderr.write(`${violation}\n`));
+  process.exitCode = violations.length === 0 ? 0 : 1;
 }
 
 main();
--- a/tools/count_results.ts
+++ b/tools/count_results.ts
@@ -1,6 +1,8 @@
 /**
- * Prints the closing line of CI. Tests listed in KNOWN-RED.txt (name, cause,
- * issue, separated by " | ") may fail; anything else may not.
+ * Prints the summary line of CI from the JSON report of Vitest. Only tests listed in
+ * KNOWN-RED.txt (name, cause and issue, separated by " | ") may fail.
+ *
+ * Usage: `node count_results.js REPORT EXIT_STATUS`
  */
 import {existsSync, readFileSync} from 'node:fs';
 
@@ -12,7 +14,7 @@
 }
 
 const MAX_KNOWN_RED = 3;
-const [file, status] = process.argv.slice(2);
+const [reportFile, exitStatus] = process.argv.slice(2);
 
 function readKnownRed(): string[] {
   if (!existsSync('KNOWN-RED.txt')) {
@@ -24,41 +26,43 @@
     .map(line => line.split(' | ')[0].trim());
 }
 
-function readResults(): {testResults: Suite[]} | undefined {
+function readReport(): {testResults: Suite[]} | undefined {
   try {
-    return JSON.parse(readFileSync(file, 'utf8')) as {testResults: Suite[]};
+    return JSON.parse(readFileSync(reportFile, 'utf8')) as {
+      testResults: Suite[];
+    };
   } catch {
     return undefined;
   }
 }
 
 const knownRed = readKnownRed();
-const results = readResults();
-const suites = results?.testResults ?? [];
+const report = readReport();
+const suites = report?.testResults ?? [];
 const tests = suites.flatMap(suite => suite.assertionResults);
 const failed = tests.filter(test => test.status === 'failed');
-const known = failed.filter(test => knownRed.includes(test.fullName));
+const knownFailures = failed.filter(test => knownRed.includes(test.fullName));
 const brokenSuites = suites.filter(
   suite =>
     suite.status === 'failed' &&
     !suite.assertionResults.some(test => test.status === 'failed'),
 );
 const passed = tests.filter(test => test.status === 'passed').length;
-known.forEach(test => console.log(`known red: ${test.fullName}`));
+knownFailures.forEach(test => console.log(`known red: ${test.fullName}`));
 brokenSuites.forEach(suite =>
   console.log(`broken: ${suite.name}: ${suite.message}`),
 );
 
-let failures = failed.length - known.length + brokenSuites.length;
+let failures = failed.length - knownFailures.length + brokenSuites.length;
 if (knownRed.length > MAX_KNOWN_RED) {
   console.log('KNOWN-RED.txt has more than three lines');
   failures += 1;
 }
-// A runner that died without a verdict is a failure, too.
+// A runner that crashed, or that failed without a failed test, counts as a failure.
 if (
-  !results ||
+  !report ||
   passed === 0 ||
-  (status !== '0' && failed.length === 0 && failures === 0)
+  (exitStatus !== '0' && failed.length === 0 && failures === 0)
 ) {
   failures += 1;
 }
--- a/tools/pack_programs.ts
+++ b/tools/pack_programs.ts
@@ -1,6 +1,6 @@
 /**
- * Packs the programs of the deploy file: each becomes one file, and its code is
- * compiled with the flags that it runs with. It is part of the build.
+ * Build step that bundles each program of the deploy file into a single file and
+ * writes its V8 code cache, with the Node.js flags with which it will run.
  */
 import {spawnSync} from 'node:child_process';
 import {readFileSync} from 'node:fs';
@@ -9,15 +9,15 @@
 import {z} from 'zod';
 
 const DEPLOY_FILE = 'deploy/system.toml';
-/** What a program exits with that was started without settings, as here. */
+/** Exit status of a program that is started without settings, as it is here. */
 const EXIT_USAGE = 2;
 
 const DeployFile = z.object({
   roles: z.record(z.string(), z.object({run: z.string()})),
 });
 
-/** The words of a role's command: `node [FLAGS] LAUNCHER PROGRAM`. */
-function splitCommand(run: string) {
+/** Splits the command of a role, `node [FLAGS] LAUNCHER PROGRAM`. */
+function parseCommand(run: string) {
   const [, ...words] = run.split(' ');
   const flags = words.filter(word => word.startsWith('--'));
   const [launcher, program] = words.filter(word => !word.startsWith('--'));
@@ -29,41 +29,43 @@
   return {flags, launcher, program};
 }
 
-function packProgram(program: string): void {
+function bundleProgram(program: string): void {
   buildSync({
     entryPoints: [`target/platform/bin/${program}.js`],
     outfile: `target/packed/${program}.js`,
     bundle: true,
     platform: 'node',
     target: 'node20',
-    // Names stay, since they stand in logs and stack traces.
+    // Identifiers are not minified, since they appear in logs and stack traces.
     minifyWhitespace: true,
     minifySyntax: true,
-    // An optional addon that is not installed here.
+    // An optional native addon of cbor-x that is not installed.
     external: ['cbor-extract'],
     logLevel: 'warning',
   });
 }
 
-/** Starts it without settings, so that it ends by itself after loading all. */
-function compileProgram({
+/** Runs the program once without settings: it loads all its modules, writes the cache and exits. */
+function writeCodeCache({
   flags,
   launcher,
   program,
-}: ReturnType<typeof splitCommand>): void {
+}: ReturnType<typeof parseCommand>): void {
   const args = [...flags, launcher, program, '--write-code'];
   const {status, stderr} = spawnSync(process.execPath, args, {
     env: {},
     encoding: 'utf8',
   });
   if (status !== EXIT_USAGE) {
-    throw new Error(`${program} ended with ${status} while packed: ${stderr}`);
+    throw new Error(
+      `${program} exited with ${status} while its code cache was written: ${stderr}`,
+    );
   }
 }
 
 const {roles} = DeployFile.parse(parse(readFileSync(DEPLOY_FILE, 'utf8')));
 for (const {run} of Object.values(roles)) {
-  const command = splitCommand(run);
-  packProgram(command.program);
-  compileProgram(command);
+  const command = parseCommand(run);
+  bundleProgram(command.program);
+  writeCodeCache(command);
 }
--- a/tools/write_settings.ts
+++ b/tools/write_settings.ts
@@ -1,6 +1,6 @@
 /**
- * Writes docs/SETTINGS.md from the programs' own `--help`; with `--check` only
- * tells whether it is up to date.
+ * Generates docs/SETTINGS.md from the `--help` output of the programs. With `--check`
+ * it writes nothing and fails if the page is out of date.
  */
 import {execFileSync} from 'node:child_process';
 import {readFileSync, writeFileSync} from 'node:fs';
