--- a/test/platform/backend_restarts.test.ts
+++ b/test/platform/backend_restarts.test.ts
@@ -11,7 +11,7 @@
 import {platformHttpDialect} from '../../platform/platform_http_dialect';
 import {decodeRegistration} from '../../platform/decode_registration';
 import {engineClient} from '../../platform/engine_client';
-import {engineIncarnation} from '../../platform/engine_incarnation';
+import {engineIdentity} from '../../platform/engine_identity';
 import {OperatorApi} from '../../platform/operator_api';
 import {EventRing} from '../../src/common/event_ring';
 import {systemClock} from '../../src/common/system_clock';
@@ -54,8 +54,8 @@
     ['i@1', undefined],
     ['i@1', 5],
   ])('of %s born %s yields the id', (id, born) => {
-    const incarnation = engineIncarnation.format(id, born);
-    expect(engineIncarnation.getId(incarnation)).toBe(id);
+    const incarnation = engineIdentity.format(id, born);
+    expect(engineIdentity.getId(incarnation)).toBe(id);
   });
 
   test('differs for each time of the start', () => {
@@ -75,7 +75,7 @@
       promptTokens: 0,
       forwardedHeaders: [],
     };
-    const incarnation = engineIncarnation.format('i-1', 1_000);
+    const incarnation = engineIdentity.format('i-1', 1_000);
     expect(platformHttpDialect.createHeaders(request, {incarnation})).toEqual([
       'x-whinreel-expect-instance',
       'i-1',
--- a/test/platform/launch.test.ts
+++ b/test/platform/launch.test.ts
@@ -15,7 +15,7 @@
 
 beforeEach(() => {
   folder = mkdtempSync(path.join(tmpdir(), 'whinreel-launch-'));
-  for (const file of ['bin/launch.js', 'ignore_sighup.js']) {
+  for (const file of ['bin/launch.js', 'take_hangup.js']) {
     cpSync(path.join(BUILD, file), path.join(folder, 'platform', file));
   }
   mkdirSync(path.join(folder, 'packed'));
--- a/test/platform/translation.test.ts
+++ b/test/platform/translation.test.ts
@@ -304,7 +304,7 @@
 
   test.each([
     ['a missing field', text.replace('zone = "z"', ''), 'zone'],
-    ['a invalid field', text.replace('8229"', '"'), 'seeds.0'],
+    ['an invalid field', text.replace('8229"', '"'), 'seeds.0'],
     ['invalid TOML', 'zone = ', 'cannot read'],
   ])('with %s is refused with an error of one line', (_, content, reason) => {
     expect(() => read(content)).toThrow(reason);
