--- a/demo/run.ts
+++ b/demo/run.ts
@@ -125,7 +125,7 @@
       await sendTwice(scenario, fleet, headers);
     },
   );
-  print('\nwhat control decided:\n');
+  print('\njournal of control:\n');
   const reporter = TextReporter.create(print);
   reporter.report({
     type: 'journal',
@@ -189,7 +189,7 @@
       `runs: ${runs}\n  `,
   );
   if (runs !== 1) {
-    throw new Error(`it ran ${runs} times`);
+    throw new Error(`the request ran ${runs} times instead of once`);
   }
 }
 
