--- a/bench/fleet_simulator.ts
+++ b/bench/fleet_simulator.ts
@@ -141,14 +141,14 @@
     return {downSeconds, strandedSeconds, cost};
   }
 
-  private applyEvent({host: hostId, type: what}: FailureEvent): void {
+  private applyEvent({host: hostId, type}: FailureEvent): void {
     const host = this.getHost(hostId);
-    if (what === 'back') {
+    if (type === 'back') {
       host.isUp = true;
       return;
     }
     host.isUp = false;
-    if (what === 'crash') {
+    if (type === 'crash') {
       host.incarnation += 1;
       host.loaded = '';
     }
--- a/bench/run_containment.ts
+++ b/bench/run_containment.ts
@@ -67,7 +67,7 @@
   'nothing shared': 'sharing',
 };
 
-/** The value below which the fraction `fraction` of all values lies; 0 for an empty list. */
+/** The value below which the given fraction of all values lies; 0 for an empty list. */
 function findQuantile(values: readonly number[], fraction: number): number {
   const sorted = [...values].sort((left, right) => left - right);
   const at = Math.min(sorted.length - 1, Math.floor(sorted.length * fraction));
--- a/test/platform/backend_restarts.test.ts
+++ b/test/platform/backend_restarts.test.ts
@@ -196,7 +196,7 @@
     ).toBe(200);
     expect(await register('i-1', change({}))).toBe(200);
 
-    const refused = [
+    const statuses = [
       await register('i-1', change({born: '2000'})),
       await register('i-1', change({born: 2_000.5})),
       await register('i-1', change({born: undefined})),
@@ -214,7 +214,7 @@
       ),
     ];
 
-    expect(refused).toEqual(refused.map(() => 400));
+    expect(statuses).toEqual(statuses.map(() => 400));
     const ask = {
       type: 'gateway-ask' as const,
       gatewayId: 'g',
--- a/test/platform/translation.test.ts
+++ b/test/platform/translation.test.ts
@@ -1,4 +1,4 @@
-/** Checks the translation between the formats of the platform and the messages of the product. */
+/** Checks the translation between the formats of the platform and the rules, registrations and settings of the system. */
 import {writeFileSync, mkdtempSync} from 'node:fs';
 import {IncomingMessage} from 'node:http';
 import {tmpdir} from 'node:os';
@@ -126,7 +126,7 @@
     group: {name: 'g', epoch: 3, rank: 1, state: 'ready'},
   };
 
-  test('is translated into the product’s registration', () => {
+  test('is translated into a registration message', () => {
     expect(decodeRegistration('i', JSON.stringify(wire))).toEqual({
       name: 'i',
       incarnation: 'i',
