--- a/bench/run_engine_policy.ts
+++ b/bench/run_engine_policy.ts
@@ -79,7 +79,7 @@
     ...model,
     size: sizes[at],
   }));
-  return EngineFleet.play({
+  return EngineFleet.run({
     profile: {...PROFILE, models},
     domains,
     demand,
--- a/bench/run_limits.ts
+++ b/bench/run_limits.ts
@@ -2,7 +2,10 @@
 import {ControlMessage} from '../src/protocol/control_message';
 import {messageCodec} from '../src/protocol/message_codec';
 import {createRandom} from '../test/support/create_random';
-import {BACKEND, LimitCrowd} from '../test/support/limit_crowd';
+import {
+  BACKEND,
+  RateLimitSimulation,
+} from '../test/support/rate_limit_simulation';
 
 const GATEWAYS = [3, 16, 340];
 const LIMITS = [0.5, 3.7, 50];
@@ -25,17 +28,18 @@
 };
 
 async function measure(gateways: number, limit: number, demand: number) {
-  const fleet = LimitCrowd.create({
+  const fleet = RateLimitSimulation.create({
     gateways,
     limitAt: () => limit,
     demandAt: () => (limit * demand) / gateways,
     random: createRandom(1),
   });
   await fleet.run(WARM_UP_MS);
-  const before = fleet.asks;
+  const before = fleet.permitRequestCount;
   await fleet.run(WARM_UP_MS + MEASURE_MS);
-  const perSecond = ((fleet.asks - before) * MS_PER_SECOND) / MEASURE_MS;
-  const sent = fleet.countSent(WARM_UP_MS, WARM_UP_MS + MEASURE_MS);
+  const perSecond =
+    ((fleet.permitRequestCount - before) * MS_PER_SECOND) / MEASURE_MS;
+  const sent = fleet.countInformedRequests(WARM_UP_MS, WARM_UP_MS + MEASURE_MS);
   const used = (sent * MS_PER_SECOND) / MEASURE_MS / limit;
   console.log(
     `${gateways} gateways, ${limit} a second, demand ${demand} times that: ` +
--- a/bench/run_promises.ts
+++ b/bench/run_promises.ts
@@ -246,7 +246,7 @@
     for (let at = 0; at < ONCE_ONLY_CALLS * 2; at += 1) {
       for (const [place, list] of Object.entries(times)) {
         const sentAt = performance.now();
-        await post(`${fleet.entryUrl()}/services/dispatch${place}`, agent);
+        await post(`${fleet.getEntryUrl()}/services/dispatch${place}`, agent);
         // The first half lets the JIT compiler optimise the code and is not counted.
         if (at >= ONCE_ONLY_CALLS) {
           list.push(performance.now() - sentAt);
--- a/demo/run.ts
+++ b/demo/run.ts
@@ -141,7 +141,7 @@
   content: string,
   headers: Record<string, string>,
 ): Promise<void> {
-  const response = await fetch(`${fleet.entryUrl()}/v1/chat/completions`, {
+  const response = await fetch(`${fleet.getEntryUrl()}/v1/chat/completions`, {
     method: 'POST',
     headers,
     body: JSON.stringify({
@@ -171,7 +171,7 @@
   headers: Record<string, string>,
 ): Promise<void> {
   const send = (entryId: string) =>
-    fetch(`${fleet.entryUrl(entryId)}${scenario.serviceRequest.path}`, {
+    fetch(`${fleet.getEntryUrl(entryId)}${scenario.serviceRequest.path}`, {
       method: 'POST',
       headers: {...headers, 'idempotency-key': 'demo-1'},
       body: scenario.serviceRequest.body,
--- a/test/end_to_end/request_path.test.ts
+++ b/test/end_to_end/request_path.test.ts
@@ -45,7 +45,7 @@
   entryId = 'entry-1',
 ): Promise<Response> {
   const headers = {authorization: `Bearer ${KEY}`, ...init.headers};
-  return fetch(`${fleet.entryUrl(entryId)}${path}`, {...init, headers});
+  return fetch(`${fleet.getEntryUrl(entryId)}${path}`, {...init, headers});
 }
 
 function sendCompletion(body: object): Promise<Response> {
@@ -135,7 +135,7 @@
 
 test('answers invalid requests with a problem document and does not run them', async () => {
   const before = fleet.findEngine('h1').totalRuns;
-  const unknownKey = await fetch(`${fleet.entryUrl()}/v1/chat/completions`, {
+  const unknownKey = await fetch(`${fleet.getEntryUrl()}/v1/chat/completions`, {
     method: 'POST',
   });
   const unknownModel = await sendCompletion({model: 'nobody'});
@@ -175,7 +175,7 @@
 });
 
 test('reads a body only for a known key, and only up to the size limit', async () => {
-  const url = `${fleet.entryUrl()}/v1/chat/completions`;
+  const url = `${fleet.getEntryUrl()}/v1/chat/completions`;
   const body = 'x'.repeat(5 * 1024 * 1024);
   const unauthenticated = await call({url, method: 'POST', headers: {}, body});
   const authenticated = await call({
