--- a/bench/run_containment.ts
+++ b/bench/run_containment.ts
@@ -7,7 +7,7 @@
  */
 import {CrashFleetOptions} from '../test/support/crash_fleet_options';
 import {CrashFleetResult} from '../test/support/crash_fleet_result';
-import {playCrashes} from '../test/support/crash_fleet';
+import {runCrashFleet} from '../test/support/crash_fleet';
 import {createRandom} from '../test/support/create_random';
 
 const DEFAULT_SEEDS = 20;
@@ -18,10 +18,10 @@
   gateways: 5,
   servers: 9,
   perSecond: 80,
-  lengthMs: 700,
-  forMs: 20_000,
+  streamMs: 700,
+  durationMs: 20_000,
   marked: 1,
-  repeatEveryMs: 400,
+  poisonRetryMs: 400,
   losses: [],
   newsMs: 30,
 };
@@ -72,16 +72,22 @@
 }
 
 function format(results: readonly CrashFleetResult[]): string {
-  const ended = results.flatMap(({endedByMarked}) => endedByMarked);
-  const known = results.flatMap(({knownAfterMs}) => knownAfterMs);
-  const delays = results.flatMap(({repeatDelaysMs}) => repeatDelaysMs);
+  const ended = results.flatMap(
+    ({crashesByPoisonRequest: endedByMarked}) => endedByMarked,
+  );
+  const known = results.flatMap(
+    ({propagationMs: knownAfterMs}) => knownAfterMs,
+  );
+  const delays = results.flatMap(
+    ({retryDelaysMs: repeatDelaysMs}) => repeatDelaysMs,
+  );
   const count = (read: (result: CrashFleetResult) => number) =>
     results.reduce((sum, result) => sum + read(result), 0);
   return [
     `ended ${findQuantile(ended, 0.5)} (median) ${Math.max(0, ...ended)} (most)`,
-    `sent when known ${count(({sentAfterKnown}) => sentAfterKnown)}`,
+    `sent when known ${count(({sentAfterVerdict: sentAfterKnown}) => sentAfterKnown)}`,
     `known after ${Math.round(Math.max(0, ...known))} ms (most)`,
-    `healthy refused ${count(({healthyRefused}) => healthyRefused)} of ${count(({healthy}) => healthy)}`,
+    `healthy refused ${count(({healthyRejected: healthyRefused}) => healthyRefused)} of ${count(({healthy}) => healthy)}`,
     `repeat after ${Math.round(findQuantile(delays, 0.5))} ms (median) ${Math.round(findQuantile(delays, 0.95))} ms (95 in 100)`,
   ].join('; ');
 }
@@ -93,7 +99,7 @@
       const results: CrashFleetResult[] = [];
       for (let seed = 1; seed <= seeds; seed += 1) {
         const random = createRandom(seed);
-        results.push(await playCrashes({...load, without, random}));
+        results.push(await runCrashFleet({...load, without, random}));
       }
       console.log(`  ${name}: ${format(results)}`);
     }
--- a/bench/run_engine_policy.ts
+++ b/bench/run_engine_policy.ts
@@ -79,7 +79,7 @@
     ...model,
     size: sizes[at],
   }));
-  return EngineFleet.play({
+  return EngineFleet.run({
     profile: {...PROFILE, models},
     domains,
     demand,
--- a/bench/run_limits.ts
+++ b/bench/run_limits.ts
@@ -2,7 +2,10 @@
 import {ControlMessage} from '../src/protocol/control_message';
 import {messageCodec} from '../src/protocol/message_codec';
 import {createRandom} from '../test/support/create_random';
-import {BACKEND, LimitCrowd} from '../test/support/limit_crowd';
+import {
+  BACKEND,
+  RateLimitSimulation,
+} from '../test/support/rate_limit_simulation';
 
 const GATEWAYS = [3, 16, 340];
 const LIMITS = [0.5, 3.7, 50];
@@ -25,17 +28,18 @@
 };
 
 async function measure(gateways: number, limit: number, demand: number) {
-  const crowd = LimitCrowd.create({
+  const crowd = RateLimitSimulation.create({
     gateways,
     limitAt: () => limit,
     demandAt: () => (limit * demand) / gateways,
     random: createRandom(1),
   });
   await crowd.run(FROM_MS);
-  const before = crowd.asks;
+  const before = crowd.permitRequestCount;
   await crowd.run(FROM_MS + FOR_MS);
-  const perSecond = ((crowd.asks - before) * MS_PER_SECOND) / FOR_MS;
-  const sent = crowd.countSent(FROM_MS, FROM_MS + FOR_MS);
+  const perSecond =
+    ((crowd.permitRequestCount - before) * MS_PER_SECOND) / FOR_MS;
+  const sent = crowd.countInformedRequests(FROM_MS, FROM_MS + FOR_MS);
   const used = (sent * MS_PER_SECOND) / FOR_MS / limit;
   console.log(
     `${gateways} gateways, ${limit} a second, demand ${demand} times that: ` +
--- a/bench/run_path.ts
+++ b/bench/run_path.ts
@@ -49,7 +49,7 @@
       gaps: [] as number[],
     },
     routed: {
-      url: fleet.entryUrl(),
+      url: fleet.getEntryUrl(),
       firsts: [] as number[],
       gaps: [] as number[],
     },
@@ -115,7 +115,7 @@
   const common = {model: 'assistant', tokens: 1, agent, key};
   await Promise.all(
     Array.from({length: WARM_UP_STREAMS}, () =>
-      timeStream({...common, url: fleet.entryUrl()}),
+      timeStream({...common, url: fleet.getEntryUrl()}),
     ),
   );
   await Promise.all(
@@ -142,7 +142,7 @@
     const all = await Promise.all(
       Array.from({length: streams}, () =>
         timeStream({
-          url: fleet.entryUrl(),
+          url: fleet.getEntryUrl(),
           key,
           model: 'assistant',
           tokens: LOADED_TOKENS,
@@ -188,7 +188,7 @@
       sent += 1;
       const sentAt = performance.now();
       const status = await post(
-        `${fleet.entryUrl()}/services/dispatch${path}`,
+        `${fleet.getEntryUrl()}/services/dispatch${path}`,
         key,
         agent,
       );
--- a/bench/run_promises.ts
+++ b/bench/run_promises.ts
@@ -246,7 +246,7 @@
     for (let at = 0; at < ONCE_CALLS * 2; at += 1) {
       for (const [place, list] of Object.entries(times)) {
         const sentAt = performance.now();
-        await post(`${fleet.entryUrl()}/services/dispatch${place}`, agent);
+        await post(`${fleet.getEntryUrl()}/services/dispatch${place}`, agent);
         // The first half warms the code up.
         if (at >= ONCE_CALLS) {
           list.push(performance.now() - sentAt);
--- a/demo/run.ts
+++ b/demo/run.ts
@@ -138,7 +138,7 @@
   content: string,
   headers: Record<string, string>,
 ): Promise<void> {
-  const response = await fetch(`${fleet.entryUrl()}/v1/chat/completions`, {
+  const response = await fetch(`${fleet.getEntryUrl()}/v1/chat/completions`, {
     method: 'POST',
     headers,
     body: JSON.stringify({
@@ -168,7 +168,7 @@
   headers: Record<string, string>,
 ): Promise<void> {
   const send = (entryId: string) =>
-    fetch(`${fleet.entryUrl(entryId)}${scene.serviceCall.path}`, {
+    fetch(`${fleet.getEntryUrl(entryId)}${scene.serviceCall.path}`, {
       method: 'POST',
       headers: {...headers, 'idempotency-key': 'demo-1'},
       body: scene.serviceCall.body,
--- a/test/control/backend_registry.test.ts
+++ b/test/control/backend_registry.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, test} from 'vitest';
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {HeadStopDetector} from '../../src/control/head_stop_detector';
-import {group, host} from '../support/engine_plan';
+import {createGroup, createHost} from '../support/engine_plan';
 
 const HEARTBEAT_MS = 1_000;
 const STALL_MS = 5_000;
@@ -15,7 +15,7 @@
   );
   /** Registers an incarnation; all have the same address. */
   const register = (incarnation: string, sequence: number, now: number) => {
-    const {registration} = host(incarnation, {address: 'a:1', sequence});
+    const {registration} = createHost(incarnation, {address: 'a:1', sequence});
     return registry.record(registration, now);
   };
   const list = () => registry.list().map(view => view.registration.incarnation);
@@ -83,17 +83,21 @@
 describe('an engine that has left its group', () => {
   test('still holds the model of that group, also for a new leader', () => {
     const {registry} = create();
-    registry.record(host('a', {model: undefined}).registration, 0);
+    registry.record(createHost('a', {model: undefined}).registration, 0);
     registry.recordHeldModel('a', 'big');
-    registry.record(host('a', {sequence: 2}).registration, 1_000);
+    registry.record(createHost('a', {sequence: 2}).registration, 1_000);
     expect(registry.find('a')?.loadedModel).toBe('big');
   });
 
   test('has no known model while it joins another group', () => {
     const {registry} = create();
-    registry.record(host('a', {model: 'low'}).registration, 0);
+    registry.record(createHost('a', {model: 'low'}).registration, 0);
     const joining = {name: 'g', epoch: 1, rank: 0, state: 'joining' as const};
-    const again = host('a', {model: undefined, group: joining, sequence: 2});
+    const again = createHost('a', {
+      model: undefined,
+      group: joining,
+      sequence: 2,
+    });
     registry.record(again.registration, 1_000);
     registry.recordHeldModel('a', 'low');
     expect(registry.find('a')?.loadedModel).toBeUndefined();
@@ -101,7 +105,7 @@
 
   test('has the model that it registers, whatever its group had', () => {
     const {registry} = create();
-    registry.record(host('a', {model: 'low'}).registration, 0);
+    registry.record(createHost('a', {model: 'low'}).registration, 0);
     registry.recordHeldModel('a', 'big');
     expect(registry.find('a')?.loadedModel).toBe('low');
   });
@@ -113,7 +117,7 @@
     register('head', 30, 0);
     register('before', 20, 500);
     const headStops = HeadStopDetector.create(registry, STALL_MS);
-    const ended = {...group(['head', 'b']), isEnding: true};
+    const ended = {...createGroup(['head', 'b']), isEnding: true};
     const [, member] = ended.members;
     const members = [{incarnation: 'head', address: 'a:1'}, member];
 
--- a/test/control/backend_restarts.test.ts
+++ b/test/control/backend_restarts.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, test} from 'vitest';
 import {BackendRegistry} from '../../src/control/backend_registry';
 import {HeadStopDetector} from '../../src/control/head_stop_detector';
-import {group, host} from '../support/engine_plan';
+import {createGroup, createHost} from '../support/engine_plan';
 
 const HEARTBEAT_MS = 1_000;
 const STALL_MS = 5_000;
@@ -15,7 +15,7 @@
     now: number,
     address = 'a:1',
   ) => {
-    const {registration} = host(`n@${startedAt}`, {
+    const {registration} = createHost(`n@${startedAt}`, {
       name: 'n',
       startedAt,
       sequence,
@@ -67,7 +67,7 @@
   test('proves that its predecessor no longer acts as the head of a group', () => {
     const {registry, register} = create();
     register(1_000, 40, 0);
-    const ended = {...group(['n@1000', 'b']), isEnding: true};
+    const ended = {...createGroup(['n@1000', 'b']), isEnding: true};
     const [, member] = ended.members;
     const head = {incarnation: 'n@1000', name: 'n', address: 'a:1'};
     const headStops = HeadStopDetector.create(registry, STALL_MS);
--- a/test/control/engine_orders.test.ts
+++ b/test/control/engine_orders.test.ts
@@ -9,7 +9,12 @@
 import {RaftRuntime} from '../../src/control/raft_runtime';
 import {EngineAction} from '../../src/coordination/groups/engine_action';
 import {EngineOrders} from '../../src/protocol/engine_orders';
-import {PROFILE, group, host, told} from '../support/engine_plan';
+import {
+  PROFILE,
+  createGroup,
+  createHost,
+  createGroupReport,
+} from '../support/engine_plan';
 
 type Order = Extract<EngineAction, {type: 'order'}>;
 type Answer = Awaited<ReturnType<EngineOrders['send']>>;
@@ -26,7 +31,10 @@
   }
 }
 
-function createRegistry(clock: Clock, views = [host('a'), host('b')]) {
+function createRegistry(
+  clock: Clock,
+  views = [createHost('a'), createHost('b')],
+) {
   const registry = BackendRegistry.create();
   views.forEach(view => registry.record(view.registration, clock.now()));
   return registry;
@@ -89,7 +97,7 @@
       kind,
       incarnation: 'a',
       address: 'a:1',
-      group: group(['a', 'b']),
+      group: createGroup(['a', 'b']),
       model: 'low',
       isLoad,
       reason: 'test',
@@ -165,7 +173,7 @@
     const park = {...createOrder('join'), isParking: true};
     await dispatch(park);
     clock.time += 500;
-    await dispatch({...park, group: group(['a'], {epoch: 8})});
+    await dispatch({...park, group: createGroup(['a'], {epoch: 8})});
     expect(sent).toEqual(['join a']);
   });
 
@@ -224,7 +232,7 @@
       },
     });
     const refresh = async () => {
-      health.refresh([group(['a', 'b'])], clock.now());
+      health.refresh([createGroup(['a', 'b'])], clock.now());
       await flushPromises();
     };
     const countProbes = (address: string) =>
@@ -279,7 +287,7 @@
     answering.delete('b:1');
     await refresh();
     clock.time += 500;
-    const {registration} = host('b', {sequence: 2});
+    const {registration} = createHost('b', {sequence: 2});
     registry.record(registration, clock.now());
     health.refresh([], clock.now());
     expect(health.isLost('b')).toBe(false);
@@ -287,7 +295,7 @@
 });
 
 describe('a silent head', () => {
-  const ended = group(['a', 'b'], {isEnding: true, isReleased: true});
+  const ended = createGroup(['a', 'b'], {isEnding: true, isReleased: true});
 
   test('counts as stopped after the stall timeout of a released group', () => {
     const clock = new ManualClock();
@@ -299,12 +307,12 @@
 
   test('keeps its members as long as none of them has left', () => {
     const clock = new ManualClock();
-    const views = [host('b', told('ready', 1))];
+    const views = [createHost('b', createGroupReport('ready', 1))];
     const headStops = HeadStopDetector.create(
       createRegistry(clock, views),
       STALL_MS,
     );
-    const held = group(['a', 'b'], {isEnding: true});
+    const held = createGroup(['a', 'b'], {isEnding: true});
     headStops.refresh([held], 0);
     expect(headStops.hasDepartedMember(held)).toBe(false);
     expect(headStops.isHeadStopped(held, 10 * STALL_MS)).toBe(false);
@@ -312,11 +320,11 @@
 
   test('counts as stopped when another incarnation has its address', () => {
     const clock = new ManualClock();
-    const views = [host('z', {address: 'a:1'})];
+    const views = [createHost('z', {address: 'a:1'})];
     const headStops = HeadStopDetector.create(
       createRegistry(clock, views),
       STALL_MS,
     );
-    expect(headStops.isHeadStopped(group(['a', 'b']), 0)).toBe(true);
+    expect(headStops.isHeadStopped(createGroup(['a', 'b']), 0)).toBe(true);
   });
 });
--- a/test/control/gateway_service.test.ts
+++ b/test/control/gateway_service.test.ts
@@ -13,7 +13,7 @@
 import {MessageOf} from '../../src/protocol/message_of';
 import {EngineGroupTable} from '../../src/state/engine_group_table';
 import {SuspectTable} from '../../src/state/suspect_table';
-import {PROFILE, group, host} from '../support/engine_plan';
+import {PROFILE, createGroup, createHost} from '../support/engine_plan';
 
 const NOW = 20_000;
 const POOL = {name: 'p', maxConnections: 10, engine: PROFILE};
@@ -67,28 +67,28 @@
 describe('a new leader', () => {
   test('lists heads of committed groups that have not registered yet', async () => {
     const {engines, listTargets} = create(100);
-    engines.set(group(['a', 'b']));
+    engines.set(createGroup(['a', 'b']));
     expect(await listTargets()).toEqual(['a low']);
   });
 
   test('does not list a head that registered without an open group', async () => {
     const {engines, registry, listTargets} = create(100);
-    engines.set(group(['a', 'b']));
-    registry.record(host('a').registration, NOW);
+    engines.set(createGroup(['a', 'b']));
+    registry.record(createHost('a').registration, NOW);
     expect(await listTargets()).toEqual([]);
   });
 
   test('does not list a head whose address another incarnation has registered', async () => {
     const {engines, registry, listTargets} = create(100);
-    engines.set(group(['a', 'b']));
-    registry.record(host('c', {address: 'a:1'}).registration, NOW);
+    engines.set(createGroup(['a', 'b']));
+    registry.record(createHost('c', {address: 'a:1'}).registration, NOW);
     expect(await listTargets()).toEqual([]);
   });
 
   test('does not list a head of a group that is ending or has a retired member', async () => {
     const {engines, listTargets} = create(100);
-    engines.set(group(['a', 'b'], {isEnding: true}));
-    engines.set(group(['c', 'd'], {name: 'low-2', epoch: 8}));
+    engines.set(createGroup(['a', 'b'], {isEnding: true}));
+    engines.set(createGroup(['c', 'd'], {name: 'low-2', epoch: 8}));
     engines.retire('d');
     expect(await listTargets()).toEqual([]);
   });
@@ -96,7 +96,7 @@
 
 test('a leader that has led for long lists only registered heads', async () => {
   const {engines, listTargets} = create(16_000);
-  engines.set(group(['a', 'b']));
+  engines.set(createGroup(['a', 'b']));
   expect(await listTargets()).toEqual([]);
 });
 
@@ -135,14 +135,14 @@
 
 test('a head that announced in a response that it is leaving stays retired, whatever it registers', async () => {
   const {engines, registry, service, listTargets} = create(100);
-  engines.set(group(['a', 'b']));
+  engines.set(createGroup(['a', 'b']));
   expect(await listTargets()).toEqual(['a low']);
   const call = {type: 'leaving-ask' as const, call: 1, gatewayId: 'g'};
   await service.handlers['leaving-ask']({...call, incarnations: ['a']});
   expect(await listTargets()).toEqual([]);
 
   // A registration that doesn't announce it yet changes nothing.
-  registry.record(host('a').registration, NOW);
+  registry.record(createHost('a').registration, NOW);
   expect(await listTargets()).toEqual([]);
   expect(engines.isRetired('a')).toBe(true);
 });
--- a/test/control/lost_member_stays_lost.test.ts
+++ b/test/control/lost_member_stays_lost.test.ts
@@ -9,14 +9,16 @@
 import {EventRing} from '../../src/common/event_ring';
 import {BackendHealth} from '../../src/control/backend_health';
 import {BackendRegistry} from '../../src/control/backend_registry';
-import {group, host} from '../support/engine_plan';
+import {createGroup, createHost} from '../support/engine_plan';
 
 const LAST_HEARD_MS = 400;
 
 function create() {
   const clock = {time: 1_000, now: () => clock.time};
   const registry = BackendRegistry.create();
-  ['a', 'b'].forEach(name => registry.record(host(name).registration, 900));
+  ['a', 'b'].forEach(name =>
+    registry.record(createHost(name).registration, 900),
+  );
   const answering = new Set(['a:1']);
   const health = BackendHealth.create({
     poolSettings: {
@@ -45,7 +47,7 @@
 
 test('a lost member stays lost once its group is gone', async () => {
   const {health, refresh} = create();
-  await refresh([group(['a', 'b'])]);
+  await refresh([createGroup(['a', 'b'])]);
   expect(health.isLost('b')).toBe(true);
   await refresh([]);
   expect(health.isLost('b')).toBe(true);
@@ -53,17 +55,17 @@
 
 test('it recovers once it registers', async () => {
   const {clock, registry, health, refresh} = create();
-  await refresh([group(['a', 'b'])]);
-  registry.record(host('b', {sequence: 2}).registration, clock.time);
+  await refresh([createGroup(['a', 'b'])]);
+  registry.record(createHost('b', {sequence: 2}).registration, clock.time);
   await refresh([]);
   expect(health.isLost('b')).toBe(false);
 });
 
 test('it recovers once it answers a probe', async () => {
   const {clock, answering, health, refresh} = create();
-  await refresh([group(['a', 'b'])]);
+  await refresh([createGroup(['a', 'b'])]);
   answering.add('b:1');
   clock.time += 1_000;
-  await refresh([group(['a', 'b'])]);
+  await refresh([createGroup(['a', 'b'])]);
   expect(health.isLost('b')).toBe(false);
 });
--- a/test/control/partitioned_groups.test.ts
+++ b/test/control/partitioned_groups.test.ts
@@ -18,7 +18,7 @@
 import {MessageOf} from '../../src/protocol/message_of';
 import {EngineGroupTable} from '../../src/state/engine_group_table';
 import {SuspectTable} from '../../src/state/suspect_table';
-import {PROFILE, group, host} from '../support/engine_plan';
+import {PROFILE, createGroup, createHost} from '../support/engine_plan';
 
 const HEARTBEAT_MS = 1_200;
 const GATEWAYS = 5;
@@ -41,7 +41,7 @@
 async function simulate(scenario: Scenario): Promise<Map<string, number>> {
   const clock = {time: 0, now: () => clock.time};
   const registry = BackendRegistry.create();
-  MEMBERS.forEach(name => registry.record(host(name).registration, 0));
+  MEMBERS.forEach(name => registry.record(createHost(name).registration, 0));
   const events = EventRing.create();
   const runtime = {
     state: {
@@ -87,7 +87,7 @@
         await gatewayService.handlers['gateway-ask'](report);
       }
     }
-    health.refresh([group(MEMBERS)], clock.time);
+    health.refresh([createGroup(MEMBERS)], clock.time);
     await new Promise(resolve => setImmediate(resolve));
     for (const name of MEMBERS) {
       if (health.isLost(name) && !lostAt.has(name)) {
--- a/test/control/rate_limit_sharing.test.ts
+++ b/test/control/rate_limit_sharing.test.ts
@@ -2,7 +2,7 @@
 import {EventRing} from '../../src/common/event_ring';
 import {BackendRateLimits} from '../../src/gateway/backend_rate_limits';
 import {createRandom} from '../support/create_random';
-import {BACKEND, LimitCrowd} from '../support/limit_crowd';
+import {BACKEND, RateLimitSimulation} from '../support/rate_limit_simulation';
 
 const SIZES = [3, 16, 340];
 const LIMITS = [0.5, 3.7, 50];
@@ -19,9 +19,9 @@
 function create(
   gateways: number,
   limit: number,
-  more: Partial<Parameters<typeof LimitCrowd.create>[0]> = {},
-): LimitCrowd {
-  return LimitCrowd.create({
+  more: Partial<Parameters<typeof RateLimitSimulation.create>[0]> = {},
+): RateLimitSimulation {
+  return RateLimitSimulation.create({
     gateways,
     limitAt: at => (at >= LIMITED_FROM_MS ? limit : undefined),
     demandAt: () => (Math.max(1, limit) * DEMAND_FACTOR) / gateways,
@@ -39,8 +39,10 @@
       const crowd = create(gateways, limit);
       await crowd.run(LIMITED_FROM_MS + 60_000);
 
-      expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(limit));
-      const used = crowd.countSent(
+      expect(crowd.countMaxPerWindow()).toBeLessThanOrEqual(
+        countAllowed(limit),
+      );
+      const used = crowd.countInformedRequests(
         LIMITED_FROM_MS + 10_000,
         LIMITED_FROM_MS + 60_000,
       );
@@ -53,12 +55,12 @@
     const demandAt = (_at: number, gateway: number) => (gateway === 0 ? 20 : 0);
     const crowd = create(gateways, 3.7, {demandAt});
     await crowd.run(LIMITED_FROM_MS);
-    while (crowd.firstNamedAt === undefined) {
+    while (crowd.firstAdvertisedAt === undefined) {
       await crowd.run(crowd.time.now() + 10);
     }
-    await crowd.run(crowd.firstNamedAt + KNOWN_WITHIN_MS);
+    await crowd.run(crowd.firstAdvertisedAt + KNOWN_WITHIN_MS);
 
-    expect(crowd.countKnowing()).toBe(gateways);
+    expect(crowd.countInformed()).toBe(gateways);
   });
 
   test.each(SIZES)(
@@ -69,11 +71,11 @@
         at >= LIMITED_FROM_MS && at < endsAt ? 3.7 : undefined;
       const crowd = create(gateways, 3.7, {limitAt});
       await crowd.run(endsAt - 1);
-      expect(crowd.countKnowing()).toBe(gateways);
+      expect(crowd.countInformed()).toBe(gateways);
       // The end is learned from the response to the next permitted request.
       await crowd.run(endsAt + 500 + KNOWN_WITHIN_MS);
 
-      expect(crowd.countKnowing()).toBe(0);
+      expect(crowd.countInformed()).toBe(0);
     },
   );
 
@@ -83,10 +85,10 @@
       at >= LIMITED_FROM_MS && at < endsAt ? 0 : undefined;
     const crowd = create(16, 0, {limitAt, demandAt: () => 1});
     await crowd.run(endsAt);
-    expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(0));
+    expect(crowd.countMaxPerWindow()).toBeLessThanOrEqual(countAllowed(0));
     await crowd.run(endsAt + 6_000);
 
-    expect(crowd.countKnowing()).toBe(0);
+    expect(crowd.countInformed()).toBe(0);
   });
 
   test.each(SIZES)(
@@ -98,8 +100,8 @@
       const crowd = create(gateways, 5, {demandAt});
       await crowd.run(LIMITED_FROM_MS + 60_000);
 
-      expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(5));
-      const used = crowd.countSent(
+      expect(crowd.countMaxPerWindow()).toBeLessThanOrEqual(countAllowed(5));
+      const used = crowd.countInformedRequests(
         LIMITED_FROM_MS + 10_000,
         LIMITED_FROM_MS + 60_000,
       );
@@ -120,10 +122,12 @@
       const crowd = create(gateways, 20, {limitAt, demandAt});
       await crowd.run(LIMITED_FROM_MS + 40_000);
 
-      expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(20));
+      expect(crowd.countMaxPerWindow()).toBeLessThanOrEqual(countAllowed(20));
       // After all gateways know the new limit and the window of the old one is over.
       const changedAt = LIMITED_FROM_MS + 20_000 + KNOWN_WITHIN_MS;
-      expect(crowd.countMost(changedAt)).toBeLessThanOrEqual(countAllowed(2));
+      expect(crowd.countMaxPerWindow(changedAt)).toBeLessThanOrEqual(
+        countAllowed(2),
+      );
     },
   );
 });
@@ -154,8 +158,8 @@
         () => crowd.pause(draw(), 3_000, true),
         () => {
           const gateway = crowd.gateways[draw()];
-          gateway.isCutOff = true;
-          time.after(4_000, () => (gateway.isCutOff = false));
+          gateway.isPartitioned = true;
+          time.after(4_000, () => (gateway.isPartitioned = false));
         },
         () => crowd.changeLeader(1_000),
       ];
@@ -164,8 +168,10 @@
       }
       await crowd.run(70_000);
 
-      expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(limit));
-      expect(crowd.countSent(60_000, 70_000)).toBeGreaterThan(0);
+      expect(crowd.countMaxPerWindow()).toBeLessThanOrEqual(
+        countAllowed(limit),
+      );
+      expect(crowd.countInformedRequests(60_000, 70_000)).toBeGreaterThan(0);
     },
   );
 
@@ -177,11 +183,15 @@
         crowd.time.after(at, () => crowd.changeLeader(20));
       }
       await crowd.run(30_000);
-      expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(limit));
+      expect(crowd.countMaxPerWindow()).toBeLessThanOrEqual(
+        countAllowed(limit),
+      );
       await crowd.run(60_000);
 
-      expect(crowd.countMost()).toBeLessThanOrEqual(countAllowed(limit));
-      const used = crowd.countSent(40_000, 60_000);
+      expect(crowd.countMaxPerWindow()).toBeLessThanOrEqual(
+        countAllowed(limit),
+      );
+      const used = crowd.countInformedRequests(40_000, 60_000);
       expect(used).toBeGreaterThanOrEqual(0.9 * limit * 20);
     },
   );
--- a/test/control/target_table.test.ts
+++ b/test/control/target_table.test.ts
@@ -10,7 +10,12 @@
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {EngineGroupTable} from '../../src/state/engine_group_table';
 import {createRandom} from '../support/create_random';
-import {PROFILE, Told, group, host} from '../support/engine_plan';
+import {
+  PROFILE,
+  GroupReport,
+  createGroup,
+  createHost,
+} from '../support/engine_plan';
 
 const POOLS = [{name: 'p', maxConnections: 10, engine: PROFILE}];
 const COMPLETE_AT = 20_000;
@@ -26,16 +31,16 @@
   } as unknown as RaftRuntime;
   const table = TargetTable.create({registry, runtime, leaderName: 'c'});
   let sequence = 1;
-  const register = (name: string, told?: Told) => {
+  const register = (name: string, told?: GroupReport) => {
     sequence += 1;
     const changes = {sequence, group: told};
-    registry.record(host(name, changes).registration, 0);
+    registry.record(createHost(name, changes).registration, 0);
   };
   return {engines, registry, raft, table, register};
 }
 
-function open(name: string, epoch: number): Told {
-  return {name, epoch, rank: 0, state: 'open'} as Told;
+function open(name: string, epoch: number): GroupReport {
+  return {name, epoch, rank: 0, state: 'open'} as GroupReport;
 }
 
 describe('the table of targets', () => {
@@ -45,7 +50,7 @@
       register(`h${at}`);
     }
     const tag = table.readTag(COMPLETE_AT);
-    engines.set(group(['h7', 'h8'], {name: 'g', epoch: 3}));
+    engines.set(createGroup(['h7', 'h8'], {name: 'g', epoch: 3}));
     register('h7', open('g', 3));
     const update = table.listChangesSince(tag, COMPLETE_AT);
 
@@ -59,14 +64,19 @@
     register('a');
     register('b');
     const tag = table.readTag(COMPLETE_AT);
-    register('b', {name: 'g', epoch: 3, rank: 1, state: 'joining'} as Told);
+    register('b', {
+      name: 'g',
+      epoch: 3,
+      rank: 1,
+      state: 'joining',
+    } as GroupReport);
 
     expect(table.readTag(COMPLETE_AT)).toBe(tag);
   });
 
   test('reports a head that was closed', () => {
     const {table, engines, register} = create();
-    engines.set(group(['a', 'b'], {name: 'g', epoch: 3}));
+    engines.set(createGroup(['a', 'b'], {name: 'g', epoch: 3}));
     register('a', open('g', 3));
     const tag = table.readTag(COMPLETE_AT);
     engines.end('g', 3);
@@ -101,7 +111,7 @@
     const {table, engines, register} = create();
     const tag = table.readTag(COMPLETE_AT);
     for (let epoch = 1; epoch < 1_200; epoch += 1) {
-      engines.set(group(['a', 'b'], {name: 'g', epoch}));
+      engines.set(createGroup(['a', 'b'], {name: 'g', epoch}));
       register('a', open('g', epoch));
       table.readTag(COMPLETE_AT);
     }
@@ -122,7 +132,7 @@
       const name = `g-${head}`;
       const epoch = epochs.get(head) ?? 0;
       const form = () => {
-        engines.set(group([head, `m${step}`], {name, epoch: step}));
+        engines.set(createGroup([head, `m${step}`], {name, epoch: step}));
         epochs.set(head, step);
       };
       const actions = [
--- a/test/coordination/committed_voter_change.test.ts
+++ b/test/coordination/committed_voter_change.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, test} from 'vitest';
 import {createRandom} from '../support/create_random';
-import {RaftNet} from '../support/raft_net';
+import {RaftNetwork} from '../support/raft_network';
 
 // Guards against a committed voter change that no disk records as committed. The commit
 // index is written only beside the next entry, and none followed the replacement of a
@@ -18,7 +18,7 @@
   ['b', 'c', 'd'],
 ];
 
-function findLeader(net: RaftNet): string | undefined {
+function findLeader(net: RaftNetwork): string | undefined {
   return net.identities.find(name => {
     const {node, isUp} = net.get(name);
     return isUp && node.role === 'leader';
@@ -26,13 +26,13 @@
 }
 
 /** Replaces the lost voter e by f and writes nothing afterwards. */
-function replaceVoter(): RaftNet {
-  const net = RaftNet.create(FOUNDERS, createRandom(3));
+function replaceVoter(): RaftNetwork {
+  const net = RaftNetwork.create(FOUNDERS, createRandom(3));
   net.crash('e');
   net.run(3_000);
   const leader = findLeader(net) ?? '';
   // f starts with a copy of the log, so that it receives the change together with the others.
-  net.place('f/1', structuredClone(net.get(leader).disk));
+  net.addNode('f/1', structuredClone(net.get(leader).disk));
   const command = {
     type: 'set-voter' as const,
     time: 0,
@@ -44,7 +44,7 @@
   // The other disks stall until the new voter has the change on disk.
   for (let round = 0; round < 8; round += 1) {
     net.tick(20);
-    for (let count = net.flights.length; count > 0; count -= 1) {
+    for (let count = net.messagesInFlight.length; count > 0; count -= 1) {
       net.deliver(0);
     }
     net.sync('f/1');
--- a/test/coordination/plan_engine_groups.test.ts
+++ b/test/coordination/plan_engine_groups.test.ts
@@ -1,18 +1,18 @@
 import {describe, expect, test} from 'vitest';
 import {
-  Told,
+  GroupReport,
   describeActions,
-  group,
-  host,
-  hosts,
-  plan,
-  told,
+  createGroup,
+  createHost,
+  createHosts,
+  createPlan,
+  createGroupReport,
 } from '../support/engine_plan';
 
 describe('a cold start', () => {
   test('fills each domain with groups of both models and keeps spares', () => {
-    const backends = ['a', 'b', 'c'].flatMap(domain => hosts(domain, 8));
-    const actions = plan({
+    const backends = ['a', 'b', 'c'].flatMap(domain => createHosts(domain, 8));
+    const actions = createPlan({
       backends,
       usual: new Map(),
       isFirstStart: true,
@@ -35,56 +35,78 @@
 
 describe('a forming group', () => {
   test('orders every member to join, and opens only when all are ready', () => {
-    const groups = [group(['a', 'b'])];
-    const joining = plan({groups, backends: [host('a'), host('b')]});
+    const groups = [createGroup(['a', 'b'])];
+    const joining = createPlan({
+      groups,
+      backends: [createHost('a'), createHost('b')],
+    });
     expect(describeActions(joining)).toEqual(['join a', 'join b']);
 
-    const half = [host('a', told('ready')), host('b', told('joining', 1))];
-    expect(describeActions(plan({groups, backends: half}))).toEqual([]);
+    const half = [
+      createHost('a', createGroupReport('ready')),
+      createHost('b', createGroupReport('joining', 1)),
+    ];
+    expect(describeActions(createPlan({groups, backends: half}))).toEqual([]);
 
-    const whole = [host('a', told('ready')), host('b', told('ready', 1))];
-    expect(describeActions(plan({groups, backends: whole}))).toEqual([
+    const whole = [
+      createHost('a', createGroupReport('ready')),
+      createHost('b', createGroupReport('ready', 1)),
+    ];
+    expect(describeActions(createPlan({groups, backends: whole}))).toEqual([
       'open a',
     ]);
   });
 
   test('does not count a member that is ready for an older epoch', () => {
-    const backends = [host('a', told('ready')), host('b', told('ready', 1, 6))];
-    const actions = plan({groups: [group(['a', 'b'])], backends});
+    const backends = [
+      createHost('a', createGroupReport('ready')),
+      createHost('b', createGroupReport('ready', 1, 6)),
+    ];
+    const actions = createPlan({groups: [createGroup(['a', 'b'])], backends});
 
     expect(describeActions(actions)).toEqual(['join b']);
   });
 });
 
 describe('a group that lost a member', () => {
-  const backends = [host('a', told('open')), host('b', told('ready', 1))];
+  const backends = [
+    createHost('a', createGroupReport('open')),
+    createHost('b', createGroupReport('ready', 1)),
+  ];
   const isLost = (incarnation: string) => incarnation === 'b';
 
   test('is ended before anything else', () => {
-    const actions = plan({groups: [group(['a', 'b'])], backends, isLost});
+    const actions = createPlan({
+      groups: [createGroup(['a', 'b'])],
+      backends,
+      isLost,
+    });
     expect(describeActions(actions)).toEqual(['end-group low-1']);
   });
 
   test('is not reused while its head still holds it', () => {
-    const groups = [group(['a', 'b'], {isEnding: true})];
-    const actions = plan({groups, backends, isLost});
+    const groups = [createGroup(['a', 'b'], {isEnding: true})];
+    const actions = createPlan({groups, backends, isLost});
     expect(describeActions(actions)).toEqual(['leave a']);
   });
 
   test('is removed once its head has released it', () => {
-    const groups = [group(['a', 'b'], {isEnding: true})];
-    const after = [host('a'), host('b', told('ready', 1))];
-    const actions = plan({groups, backends: after, isLost});
+    const groups = [createGroup(['a', 'b'], {isEnding: true})];
+    const after = [
+      createHost('a'),
+      createHost('b', createGroupReport('ready', 1)),
+    ];
+    const actions = createPlan({groups, backends: after, isLost});
     expect(describeActions(actions)).toEqual(['remove-group low-1']);
   });
 
   test('is rebuilt from hosts that hold the weights before any load', () => {
     const survivors = ['a', 'b', 'c'].map(name =>
-      host(name, {model: 'big', stagedModels: ['big']}),
+      createHost(name, {model: 'big', stagedModels: ['big']}),
     );
-    const spare = host('s', {stagedModels: ['big']});
-    const fresh = hosts('f', 4, {domain: 'd'});
-    const [action] = plan({
+    const spare = createHost('s', {stagedModels: ['big']});
+    const fresh = createHosts('f', 4, {domain: 'd'});
+    const [action] = createPlan({
       backends: [...survivors, spare, ...fresh],
       usual: new Map([
         ['big', 1],
@@ -103,18 +125,24 @@
 });
 
 describe('an unreachable head', () => {
-  const groups = [group(['a', 'b'], {isEnding: true})];
-  const backends = [host('a', told('open')), host('b', told('ready', 1))];
+  const groups = [createGroup(['a', 'b'], {isEnding: true})];
+  const backends = [
+    createHost('a', createGroupReport('open')),
+    createHost('b', createGroupReport('ready', 1)),
+  ];
   const isLost = (incarnation: string) => incarnation === 'a';
 
   test('breaks its group after a member is ordered to leave', () => {
-    const actions = plan({groups, backends, isLost});
+    const actions = createPlan({groups, backends, isLost});
     expect(describeActions(actions)).toEqual(['leave b']);
   });
 
   test('holds its members until it is fenced, however long it was unreachable', () => {
-    const left = [host('a', told('open'), 0), host('b')];
-    const waiting = plan({
+    const left = [
+      createHost('a', createGroupReport('open'), 0),
+      createHost('b'),
+    ];
+    const waiting = createPlan({
       groups,
       backends: left,
       isLost,
@@ -122,11 +150,13 @@
     });
     expect(describeActions(waiting)).toEqual(['release-group low-1']);
 
-    const released = [group(['a', 'b'], {isEnding: true, isReleased: true})];
-    const still = plan({groups: released, backends: left, isLost});
+    const released = [
+      createGroup(['a', 'b'], {isEnding: true, isReleased: true}),
+    ];
+    const still = createPlan({groups: released, backends: left, isLost});
     expect(describeActions(still)).toEqual([]);
 
-    const over = plan({
+    const over = createPlan({
       groups: released,
       backends: left,
       isLost,
@@ -136,9 +166,9 @@
   });
 
   test('is not taken for dead by a new leader that never heard it', () => {
-    const known = [host('b', told('ready', 1))];
-    const actions = plan({
-      groups: [group(['a', 'b'])],
+    const known = [createHost('b', createGroupReport('ready', 1))];
+    const actions = createPlan({
+      groups: [createGroup(['a', 'b'])],
       backends: known,
       isStillListening: true,
     });
@@ -150,13 +180,13 @@
   const isRetired = (incarnation: string) => incarnation === 'b';
 
   test('stays until the group has finished its requests', () => {
-    const groups = [group(['a', 'b'], {isEnding: true})];
-    const at = (state: Told['state']) => [
-      host('a', told(state)),
-      host('b', told('ready', 1)),
+    const groups = [createGroup(['a', 'b'], {isEnding: true})];
+    const at = (state: GroupReport['state']) => [
+      createHost('a', createGroupReport(state)),
+      createHost('b', createGroupReport('ready', 1)),
     ];
-    const describeAt = (state: Told['state']) =>
-      describeActions(plan({groups, backends: at(state), isRetired}));
+    const describeAt = (state: GroupReport['state']) =>
+      describeActions(createPlan({groups, backends: at(state), isRetired}));
 
     expect(describeAt('open')).toEqual(['close a']);
     expect(describeAt('closing')).toEqual([]);
@@ -164,10 +194,10 @@
   });
 
   test('joins no other group', () => {
-    const backends = [host('a'), host('b')];
+    const backends = [createHost('a'), createHost('b')];
     const usual = new Map([['low', 1]]);
     // The other host preloads a model; nothing is planned for the retired one.
-    const actions = plan({backends, isRetired, usual});
+    const actions = createPlan({backends, isRetired, usual});
     expect(describeActions(actions)).toEqual(['join a']);
     expect(actions[0]).toMatchObject({group: {name: 'parked-a'}});
   });
@@ -175,21 +205,24 @@
 
 describe('an ending group', () => {
   const held = {model: 'low', stagedModels: ['big']};
-  const spares = [host('s', held), host('t', held)];
-  const members = [host('a', told('open')), host('b', told('ready', 1))];
-  const groups = [group(['a', 'b'], {isEnding: true})];
+  const spares = [createHost('s', held), createHost('t', held)];
+  const members = [
+    createHost('a', createGroupReport('open')),
+    createHost('b', createGroupReport('ready', 1)),
+  ];
+  const groups = [createGroup(['a', 'b'], {isEnding: true})];
   const usual = new Map([['low', 1]]);
   const backends = [...members, ...spares];
 
   test('is formed again from its own hosts, not from the spares of others', () => {
     const isLost = (incarnation: string) => incarnation === 'b';
-    const actions = plan({groups, backends, usual, isLost});
+    const actions = createPlan({groups, backends, usual, isLost});
     expect(describeActions(actions)).toEqual(['leave a']);
   });
 
   test('is replaced with spares while an unreachable head holds its hosts', () => {
     const isLost = (incarnation: string) => incarnation === 'a';
-    const actions = plan({groups, backends, usual, isLost});
+    const actions = createPlan({groups, backends, usual, isLost});
     expect(describeActions(actions)).toContain('set-group low-2');
   });
 });
--- a/test/coordination/plan_engine_hosts.test.ts
+++ b/test/coordination/plan_engine_hosts.test.ts
@@ -1,11 +1,11 @@
 import {describe, expect, test} from 'vitest';
 import {
   describeActions,
-  group,
-  host,
-  hosts,
-  plan,
-  told,
+  createGroup,
+  createHost,
+  createHosts,
+  createPlan,
+  createGroupReport,
 } from '../support/engine_plan';
 
 describe('hosts without a group', () => {
@@ -15,7 +15,7 @@
   ]);
 
   test('load a model into memory before any group waits for it', () => {
-    const actions = plan({backends: hosts('d', 4), usual});
+    const actions = createPlan({backends: createHosts('d', 4), usual});
     expect(describeActions(actions)).toEqual([
       'join d0',
       'join d1',
@@ -29,18 +29,26 @@
   });
 
   test('take the model on their own disk without a load from the store', () => {
-    const backends = [host('a', {stagedModels: ['low']})];
-    const [action] = plan({backends, usual});
+    const backends = [createHost('a', {stagedModels: ['low']})];
+    const [action] = createPlan({backends, usual});
     expect(action).toMatchObject({kind: 'join', model: 'low', isLoad: false});
   });
 
   test('form a slow cross-domain group rather than none', () => {
     const changes = {model: 'big', stagedModels: ['big']};
-    const backends = [...hosts('a', 3, changes), ...hosts('b', 1, changes)];
-    const low = group(['x', 'y']);
-    const other = group(['v', 'w'], {name: 'low-2'});
+    const backends = [
+      ...createHosts('a', 3, changes),
+      ...createHosts('b', 1, changes),
+    ];
+    const low = createGroup(['x', 'y']);
+    const other = createGroup(['v', 'w'], {name: 'low-2'});
     const groups = [low, other];
-    const [action] = plan({backends, usual, groups, isStillListening: true});
+    const [action] = createPlan({
+      backends,
+      usual,
+      groups,
+      isStillListening: true,
+    });
 
     expect(action).toMatchObject({
       type: 'set-group',
@@ -51,24 +59,32 @@
   test('stay spares while a model has half of its desired groups', () => {
     const changes = {model: 'big', stagedModels: ['low']};
     const domains = ['a', 'b', 'c', 'e'];
-    const backends = domains.flatMap(domain => hosts(domain, 1, changes));
-    const low = group(['x', 'y']);
-    const other = group(['v', 'w'], {name: 'low-2'});
-    const big = group(['p', 'q', 'r', 's'], {name: 'big-1', model: 'big'});
+    const backends = domains.flatMap(domain => createHosts(domain, 1, changes));
+    const low = createGroup(['x', 'y']);
+    const other = createGroup(['v', 'w'], {name: 'low-2'});
+    const big = createGroup(['p', 'q', 'r', 's'], {
+      name: 'big-1',
+      model: 'big',
+    });
     const groups = [low, other, big];
-    const actions = plan({backends, usual, groups, isStillListening: true});
+    const actions = createPlan({
+      backends,
+      usual,
+      groups,
+      isStillListening: true,
+    });
 
     expect(describeActions(actions)).toEqual([]);
   });
 
   test('that serve a group which is no longer committed are ordered to leave', () => {
-    const backends = [host('a', told('open'))];
-    expect(describeActions(plan({backends}))).toEqual(['leave a']);
+    const backends = [createHost('a', createGroupReport('open'))];
+    expect(describeActions(createPlan({backends}))).toEqual(['leave a']);
   });
 
   test('that serve such a group and are unreachable get no order', () => {
-    const backends = [host('a', told('open'), 0)];
-    expect(plan({backends})).toEqual([]);
+    const backends = [createHost('a', createGroupReport('open'), 0)];
+    expect(createPlan({backends})).toEqual([]);
   });
 });
 
@@ -76,11 +92,11 @@
   test('gets one more group from spares, but not from the last spare', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const usual = new Map([['low', 1]]);
-    const groups = [group(['x', 'y'])];
+    const groups = [createGroup(['x', 'y'])];
     const isPressed = (model: string) => model === 'low';
     const formed = (count: number) =>
-      plan({
-        backends: hosts('d', count, held),
+      createPlan({
+        backends: createHosts('d', count, held),
         groups,
         usual,
         isPressed,
@@ -95,7 +111,7 @@
 describe('a model with fewer hosts for its share', () => {
   const held = {model: 'low', stagedModels: ['big']};
   const small = [1, 2, 3].map(number =>
-    group([`m${number}`, `n${number}`], {
+    createGroup([`m${number}`, `n${number}`], {
       name: `low-${number}`,
       domain: `d${number}`,
       epoch: number,
@@ -105,12 +121,12 @@
     own.map(({incarnation}, rank) => {
       const state = rank === 0 ? ('open' as const) : ('ready' as const);
       const membership = {name, epoch, rank, state};
-      return host(incarnation, {...held, domain, group: membership});
+      return createHost(incarnation, {...held, domain, group: membership});
     }),
   );
   const spares = [
-    host('s', {...held, domain: 'd2'}),
-    host('t', {...held, domain: 'd2'}),
+    createHost('s', {...held, domain: 'd2'}),
+    createHost('t', {...held, domain: 'd2'}),
   ];
   const input = {
     groups: small,
@@ -123,12 +139,12 @@
 
   test('gets the hosts of another model if they and spares are enough', () => {
     const isPressed = (model: string) => model === 'big';
-    const actions = plan({...input, isPressed});
+    const actions = createPlan({...input, isPressed});
     expect(describeActions(actions)).toContain('end-group low-2');
   });
 
   test('gets nothing while none of its requests are refused', () => {
-    expect(describeActions(plan(input))).not.toContain('end-group low-2');
+    expect(describeActions(createPlan(input))).not.toContain('end-group low-2');
   });
 });
 
@@ -138,12 +154,12 @@
   test('are kept by spares and by members, spares first', () => {
     const held = {model: 'low', stagedModels: ['low']};
     const members = [
-      host('a', {...held, ...told('open')}),
-      host('b', {...held, ...told('ready', 1)}),
+      createHost('a', {...held, ...createGroupReport('open')}),
+      createHost('b', {...held, ...createGroupReport('ready', 1)}),
     ];
-    const actions = plan({
-      groups: [group(['a', 'b'])],
-      backends: [...members, host('s', held)],
+    const actions = createPlan({
+      groups: [createGroup(['a', 'b'])],
+      backends: [...members, createHost('s', held)],
       usual,
     });
 
@@ -152,16 +168,16 @@
   });
 
   test('do not evict the existing copy', () => {
-    const backends = [host('a', {model: 'low', stagedModels: ['big']})];
-    expect(plan({backends, usual: new Map()})).toEqual([]);
+    const backends = [createHost('a', {model: 'low', stagedModels: ['big']})];
+    expect(createPlan({backends, usual: new Map()})).toEqual([]);
   });
 
   test('let a member of the small model repair the large one at once', () => {
     const survivors = ['a', 'b', 'c'].map(name =>
-      host(name, {model: 'big', stagedModels: ['low']}),
+      createHost(name, {model: 'big', stagedModels: ['low']}),
     );
-    const spare = host('s', {model: 'low', stagedModels: ['big']});
-    const [action] = plan({
+    const spare = createHost('s', {model: 'low', stagedModels: ['big']});
+    const [action] = createPlan({
       backends: [...survivors, spare],
       usual: new Map([['big', 1]]),
     });
@@ -174,12 +190,16 @@
   test('is ended when its hosts and free ones can form a single-domain group', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const backends = [
-      host('a', {...held, ...told('open')}),
-      host('b', {...held, ...told('ready', 1), domain: 'e'}),
-      host('c', {...held, domain: 'e'}),
+      createHost('a', {...held, ...createGroupReport('open')}),
+      createHost('b', {...held, ...createGroupReport('ready', 1), domain: 'e'}),
+      createHost('c', {...held, domain: 'e'}),
     ];
-    const groups = [group(['a', 'b'], {domain: 'd+e'})];
-    const actions = plan({groups, backends, usual: new Map([['low', 1]])});
+    const groups = [createGroup(['a', 'b'], {domain: 'd+e'})];
+    const actions = createPlan({
+      groups,
+      backends,
+      usual: new Map([['low', 1]]),
+    });
 
     expect(describeActions(actions)).toContain('end-group low-1');
   });
@@ -187,14 +207,14 @@
   test('stays while it is the only group of an overloaded model', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const backends = [
-      host('a', {...held, ...told('open')}),
-      host('b', {...held, ...told('ready', 1), domain: 'e'}),
-      host('c', {...held, domain: 'e'}),
+      createHost('a', {...held, ...createGroupReport('open')}),
+      createHost('b', {...held, ...createGroupReport('ready', 1), domain: 'e'}),
+      createHost('c', {...held, domain: 'e'}),
     ];
-    const groups = [group(['a', 'b'], {domain: 'd+e'})];
+    const groups = [createGroup(['a', 'b'], {domain: 'd+e'})];
     const usual = new Map([['low', 1]]);
     const isPressed = () => true;
-    const actions = plan({groups, backends, usual, isPressed});
+    const actions = createPlan({groups, backends, usual, isPressed});
 
     expect(describeActions(actions)).not.toContain('end-group low-1');
   });
@@ -202,13 +222,17 @@
   test('is not replaced with another one while it ends', () => {
     const held = {model: 'low', stagedModels: ['big']};
     const backends = [
-      host('a', {...held, ...told('open')}),
-      host('b', {...held, ...told('ready', 1), domain: 'e'}),
-      host('c', {...held, domain: 'f'}),
-      host('s', {...held, domain: 'g'}),
+      createHost('a', {...held, ...createGroupReport('open')}),
+      createHost('b', {...held, ...createGroupReport('ready', 1), domain: 'e'}),
+      createHost('c', {...held, domain: 'f'}),
+      createHost('s', {...held, domain: 'g'}),
     ];
-    const groups = [group(['a', 'b'], {domain: 'd+e', isEnding: true})];
-    const actions = plan({groups, backends, usual: new Map([['low', 3]])});
+    const groups = [createGroup(['a', 'b'], {domain: 'd+e', isEnding: true})];
+    const actions = createPlan({
+      groups,
+      backends,
+      usual: new Map([['low', 3]]),
+    });
 
     expect(describeActions(actions)).toEqual(['close a']);
   });
--- a/test/coordination/plan_needier_model.test.ts
+++ b/test/coordination/plan_needier_model.test.ts
@@ -5,10 +5,10 @@
 import {
   PROFILE,
   describeActions,
-  group,
-  host,
-  hosts,
-  plan,
+  createGroup,
+  createHost,
+  createHosts,
+  createPlan,
 } from '../support/engine_plan';
 
 const holdsBig = {model: 'big', stagedModels: ['low']};
@@ -20,7 +20,7 @@
   numbers: readonly number[],
 ): {groups: EngineGroup[]; views: BackendView[]} {
   const groups = numbers.map(number =>
-    group([`m${number}`, `n${number}`], {
+    createGroup([`m${number}`, `n${number}`], {
       name: `low-${number}`,
       domain,
       epoch: number,
@@ -30,7 +30,7 @@
     members.map(({incarnation}, rank) => {
       const state = rank === 0 ? ('open' as const) : ('ready' as const);
       const membership = {name, epoch, rank, state};
-      return host(incarnation, {...holdsLow, domain, group: membership});
+      return createHost(incarnation, {...holdsLow, domain, group: membership});
     }),
   );
   return {groups, views};
@@ -38,23 +38,23 @@
 
 describe('hosts of a domain in which the model with greater need can soon form a group', () => {
   const {groups, views} = createSmallGroups('e', [1, 2]);
-  const survivors = ['a', 'b', 'c'].map(name => host(name, holdsBig));
+  const survivors = ['a', 'b', 'c'].map(name => createHost(name, holdsBig));
   const usual = new Map([
     ['big', 2],
     ['low', 3],
   ]);
 
   test('are not taken by the other model', () => {
-    const backends = [...views, ...survivors, host('new')];
-    const actions = plan({groups, backends, usual});
+    const backends = [...views, ...survivors, createHost('new')];
+    const actions = createPlan({groups, backends, usual});
 
     expect(actions.filter(({type}) => type === 'set-group')).toEqual([]);
   });
 
   test('include an empty one, which loads the model with greater need', () => {
-    const others = hosts('f', 3, holdsBig);
-    const backends = [...views, ...survivors, ...others, host('new')];
-    const [order] = plan({groups, backends, usual}).filter(
+    const others = createHosts('f', 3, holdsBig);
+    const backends = [...views, ...survivors, ...others, createHost('new')];
+    const [order] = createPlan({groups, backends, usual}).filter(
       action => action.type === 'order',
     );
 
@@ -67,15 +67,22 @@
   });
 
   test('are used by the other model when too few remain for the one with greater need', () => {
-    const actions = plan({groups, backends: [...views, ...survivors], usual});
+    const actions = createPlan({
+      groups,
+      backends: [...views, ...survivors],
+      usual,
+    });
 
     expect(describeActions(actions)).toContain('set-group low-3');
   });
 
   test('are used by the other model while that has the greater need', () => {
-    const big = group(['p', 'q', 'r', 's'], {name: 'big-1', model: 'big'});
-    const backends = [...views, ...survivors, host('new')];
-    const actions = plan({
+    const big = createGroup(['p', 'q', 'r', 's'], {
+      name: 'big-1',
+      model: 'big',
+    });
+    const backends = [...views, ...survivors, createHost('new')];
+    const actions = createPlan({
       groups: [groups[0], big, {...big, name: 'big-2', epoch: 9}],
       backends,
       usual: new Map([
@@ -91,10 +98,10 @@
 
 describe('an empty host that is reserved for a group', () => {
   test('loads the model of that group, even with the other one on its disk', () => {
-    const survivors = ['a', 'b', 'c'].map(name => host(name, holdsBig));
-    const back = host('back', {stagedModels: ['low']});
+    const survivors = ['a', 'b', 'c'].map(name => createHost(name, holdsBig));
+    const back = createHost('back', {stagedModels: ['low']});
     const {groups, views} = createSmallGroups('e', [1]);
-    const [order] = plan({
+    const [order] = createPlan({
       groups,
       backends: [...views, ...survivors, back],
       usual: new Map([
@@ -113,8 +120,11 @@
       ['a', 'low'],
       ['b', 'low'],
     ]);
-    const backends = hosts('d', 1).concat(host('a'), host('b', {domain: 'e'}));
-    const actions = plan({
+    const backends = createHosts('d', 1).concat(
+      createHost('a'),
+      createHost('b', {domain: 'e'}),
+    );
+    const actions = createPlan({
       backends,
       usual: new Map([['low', 0]]),
       findLoading: incarnation => loading.get(incarnation),
@@ -126,7 +136,7 @@
   });
 
   test('preload a model under the newest epoch', () => {
-    const actions = plan({backends: [host('a')], epoch: 41});
+    const actions = createPlan({backends: [createHost('a')], epoch: 41});
 
     expect(actions).toMatchObject([{kind: 'join', group: {epoch: 41}}]);
   });
@@ -147,7 +157,7 @@
   };
 
   test('gets the hosts of two groups of one domain if one has too few', () => {
-    const ended = plan(input).filter(({type}) => type === 'end-group');
+    const ended = createPlan(input).filter(({type}) => type === 'end-group');
 
     expect(describeActions(ended)).toEqual([
       'end-group low-1',
@@ -156,13 +166,13 @@
   });
 
   test('gets them while an unreachable head holds the hosts of its own group', () => {
-    const held = group(['x', 'y', 'z', 'w'], {
+    const held = createGroup(['x', 'y', 'z', 'w'], {
       name: 'big-1',
       model: 'big',
       domain: 'g',
       isEnding: true,
     });
-    const ended = plan({
+    const ended = createPlan({
       ...input,
       groups: [...input.groups, held],
       isLost: incarnation => incarnation === 'x',
@@ -175,34 +185,35 @@
   });
 
   test('gets them as a move, not as a loss', () => {
-    const [ended] = plan(input).filter(({type}) => type === 'end-group');
+    const [ended] = createPlan(input).filter(({type}) => type === 'end-group');
     expect(ended).toMatchObject({isMove: true});
   });
 
   test('forms no slow cross-domain group while hosts are about to be free', () => {
     const spread = ['g', 'h', 'i', 'j'].flatMap(domain =>
-      hosts(domain, 1, holdsBig),
+      createHosts(domain, 1, holdsBig),
     );
     const backends = [...input.backends, ...spread];
-    const moving = plan({...input, backends});
+    const moving = createPlan({...input, backends});
     expect(describeActions(moving)).not.toContain('set-group big-1');
 
     const [first, ...others] = input.groups;
     const leaving = [{...first, isEnding: true}, ...others];
-    const after = plan({...input, groups: leaving, backends});
+    const after = createPlan({...input, groups: leaving, backends});
     expect(describeActions(after)).not.toContain('set-group big-1');
   });
 
   test('gets them under a new leader that never heard the unreachable head', () => {
-    const held = group(['x', 'y', 'z', 'w'], {
+    const held = createGroup(['x', 'y', 'z', 'w'], {
       name: 'big-1',
       model: 'big',
       domain: 'g',
       isEnding: true,
     });
-    const ended = plan({...input, groups: [...input.groups, held]}).filter(
-      ({type}) => type === 'end-group',
-    );
+    const ended = createPlan({
+      ...input,
+      groups: [...input.groups, held],
+    }).filter(({type}) => type === 'end-group');
 
     expect(describeActions(ended)).toEqual([
       'end-group low-1',
@@ -213,7 +224,7 @@
   test('gets nothing while another group is ending', () => {
     const leaving = createSmallGroups('f', [5]);
     const ending = {...leaving.groups[0], isEnding: true};
-    const ended = plan({
+    const ended = createPlan({
       ...input,
       groups: [...input.groups, ending],
       backends: [...input.backends, ...leaving.views],
@@ -224,10 +235,13 @@
 
   test('leaves the other model two groups, unless it has none itself', () => {
     const three = createSmallGroups('d', [1, 2, 3]);
-    const big = group(['p', 'q', 'r', 's'], {name: 'big-1', model: 'big'});
-    const spares = hosts('d', 2, holdsBig);
+    const big = createGroup(['p', 'q', 'r', 's'], {
+      name: 'big-1',
+      model: 'big',
+    });
+    const spares = createHosts('d', 2, holdsBig);
     const listEnded = (own: readonly EngineGroup[]) =>
-      plan({
+      createPlan({
         ...input,
         groups: [...three.groups.slice(0, 2), ...own],
         backends: [...three.views.slice(0, 4), ...spares],
@@ -248,7 +262,7 @@
       const joining = told && {...told, state: 'joining' as const};
       return {...view, registration: {...view.registration, group: joining}};
     });
-    const ended = plan({...input, backends}).filter(
+    const ended = createPlan({...input, backends}).filter(
       ({type}) => type === 'end-group',
     );
 
@@ -256,8 +270,8 @@
   });
 
   test('gets nothing while free hosts are formed into a group', () => {
-    const free = hosts('k', 2, holdsLow);
-    const actions = plan({
+    const free = createHosts('k', 2, holdsLow);
+    const actions = createPlan({
       ...input,
       backends: [...input.backends, ...free],
       usual: new Map([
@@ -271,7 +285,7 @@
   });
 
   test('gets nothing that would give the other model the greater need', () => {
-    const ended = plan({
+    const ended = createPlan({
       ...input,
       groups,
       backends: views,
@@ -319,8 +333,8 @@
 
 describe('two models with equal need', () => {
   test('are formed in order of group size, even if the smaller is ready sooner', () => {
-    const backends = hosts('d', 4, holdsLow);
-    const [action] = plan({
+    const backends = createHosts('d', 4, holdsLow);
+    const [action] = createPlan({
       backends,
       usual: new Map([
         ['big', 1],
@@ -343,13 +357,13 @@
   ];
   const profile = {...PROFILE, models};
   const domains = Array.from({length: 10}, (_, at) => `d${at}`);
-  const used = plan({
+  const used = createPlan({
     profile,
     usual: computeDesiredGroups(
       profile,
       domains.map(() => 37),
     ),
-    backends: domains.flatMap(domain => hosts(domain, 37)),
+    backends: domains.flatMap(domain => createHosts(domain, 37)),
     isFirstStart: true,
   }).flatMap(action =>
     action.type === 'set-group' ? action.group.members : [],
--- a/test/coordination/plan_under_losses.test.ts
+++ b/test/coordination/plan_under_losses.test.ts
@@ -10,9 +10,9 @@
 import {
   PROFILE,
   describeActions,
-  group,
-  host,
-  plan,
+  createGroup,
+  createHost,
+  createPlan,
 } from '../support/engine_plan';
 
 const DOMAINS = {a: 11, b: 11, c: 11};
@@ -28,9 +28,9 @@
   ],
 };
 
-function simulate(policy?: Parameters<typeof EngineFleet.play>[0]['policy']) {
+function simulate(policy?: Parameters<typeof EngineFleet.run>[0]['policy']) {
   const results = SEEDS.map(seed =>
-    EngineFleet.play({
+    EngineFleet.run({
       profile,
       domains: DOMAINS,
       demand: {big: 1.8, low: 2.1},
@@ -78,31 +78,31 @@
   const name = `low-${number}`;
   const members = [`${name}a`, `${name}b`];
   const views = members.map((incarnation, rank) =>
-    host(incarnation, {
+    createHost(incarnation, {
       domain,
       model: 'low',
       stagedModels: ['big'],
       group: {name, epoch: number, rank, state: rank === 0 ? 'open' : 'ready'},
     }),
   );
-  return {set: group(members, {name, domain, epoch: number}), views};
+  return {set: createGroup(members, {name, domain, epoch: number}), views};
 }
 
 describe('hosts of a model that lacks groups', () => {
   const low1 = createLow(1, 'e');
-  const spares = ['a', 'b'].map(name => host(name, holdsBig));
+  const spares = ['a', 'b'].map(name => createHost(name, holdsBig));
 
   test('are reserved together with those of their domain that an unreachable head still holds', () => {
     const members = ['h', 'p', 'q', 'r'];
-    const heldGroup = group(members, {
+    const heldGroup = createGroup(members, {
       name: 'big-1',
       model: 'big',
       epoch: 9,
       isEnding: true,
       isReleased: true,
     });
-    const others = members.slice(1).map(name => host(name, holdsBig));
-    const actions = plan({
+    const others = members.slice(1).map(name => createHost(name, holdsBig));
+    const actions = createPlan({
       groups: [low1.set, heldGroup],
       backends: [...low1.views, ...others, ...spares],
       usual,
@@ -117,7 +117,7 @@
     const name = `big-${number}`;
     const members = ['a', 'b', 'c', 'd'].map(id => `${id}${number}`);
     const views = members.map((incarnation, rank) =>
-      host(incarnation, {
+      createHost(incarnation, {
         ...holdsBig,
         group: {
           name,
@@ -127,7 +127,7 @@
         },
       }),
     );
-    const set = group(members, {name, model: 'big', epoch: number});
+    const set = createGroup(members, {name, model: 'big', epoch: number});
     return {set, views};
   });
 
@@ -135,7 +135,7 @@
     const {set, views} = createLow(1, 'e');
     const heldGroup = {...set, isEnding: true, isReleased: true};
     const second = {...createLow(2, 'f').set, isEnding: true, isReleased: true};
-    const actions = plan({
+    const actions = createPlan({
       groups: [...bigs.map(({set}) => set), heldGroup, second],
       backends: [...bigs.flatMap(({views}) => views), ...views],
       usual,
--- a/test/coordination/raft_node.test.ts
+++ b/test/coordination/raft_node.test.ts
@@ -3,7 +3,7 @@
 import {RaftLog} from '../../src/coordination/agreement/raft_log';
 import {RaftNode} from '../../src/coordination/agreement/raft_node';
 import {RaftMessage} from '../../src/protocol/raft_message';
-import {RaftNet} from '../support/raft_net';
+import {RaftNetwork} from '../support/raft_network';
 
 const NODES = ['a', 'b', 'c'];
 const RUNS = 1_000;
@@ -56,13 +56,14 @@
 );
 type Fault = typeof fault extends fc.Arbitrary<infer T> ? T : never;
 
-function applyStep(net: RaftNet, step: Fault, at: number): void {
-  const flights = net.flights.length;
+function applyStep(net: RaftNetwork, step: Fault, at: number): void {
+  const flights = net.messagesInFlight.length;
   const actions: {[T in Fault['do']]: (step: Extract<Fault, {do: T}>) => void} =
     {
       deliver: ({pick}) => flights > 0 && net.deliver(pick % flights),
       repeat: ({pick}) => flights > 0 && net.deliver(pick % flights, true),
-      lose: ({pick}) => flights > 0 && net.flights.splice(pick % flights, 1),
+      lose: ({pick}) =>
+        flights > 0 && net.messagesInFlight.splice(pick % flights, 1),
       sync: step => net.sync(step.node),
       tick: ({ms}) => net.tick(ms),
       propose: step => net.propose(step.node, at),
@@ -85,12 +86,12 @@
         fc.array(fault, {minLength: 50, maxLength: 250}),
         fc.nat(),
         (steps, seed) => {
-          const net = RaftNet.create(NODES, createRandom(seed));
-          net.settle();
+          const net = RaftNetwork.create(NODES, createRandom(seed));
+          net.runUntilCommitted();
           // RaftNet throws if a term has two leaders or a committed entry changes.
           steps.forEach((step, at) => applyStep(net, step, at));
 
-          expect(net.settle()).toBe(true);
+          expect(net.runUntilCommitted()).toBe(true);
           const logs = NODES.map(name => net.get(name).node.listEntries());
           const shortest = Math.min(
             ...NODES.map(name => net.get(name).node.commitIndex),
@@ -106,8 +107,8 @@
   });
 
   test('a leader without contact to a quorum loses its lease before another one is elected', () => {
-    const net = RaftNet.create(NODES, createRandom(1));
-    net.settle();
+    const net = RaftNetwork.create(NODES, createRandom(1));
+    net.runUntilCommitted();
     const [leader] = [...net.leaders.entries()]
       .sort((x, y) => y[0] - x[0])[0]
       .slice(1) as [string];
@@ -119,7 +120,7 @@
     for (let round = 0; round < 200; round += 1) {
       net.tick(10);
       NODES.forEach(name => net.sync(name));
-      while (net.flights.length > 0) {
+      while (net.messagesInFlight.length > 0) {
         net.deliver(0);
         NODES.forEach(name => net.sync(name));
       }
@@ -136,8 +137,8 @@
   });
 
   test('a node that was partitioned for a long time does not raise the term when it reconnects', () => {
-    const net = RaftNet.create(NODES, createRandom(2));
-    net.settle();
+    const net = RaftNetwork.create(NODES, createRandom(2));
+    net.runUntilCommitted();
     const term = Math.max(...net.leaders.keys());
     const leader = net.leaders.get(term) ?? '';
     const partitioned = NODES.find(name => name !== leader) ?? '';
@@ -148,12 +149,12 @@
     for (let round = 0; round < 100; round += 1) {
       net.tick(40);
       NODES.forEach(name => net.sync(name));
-      while (net.flights.length > 0) {
+      while (net.messagesInFlight.length > 0) {
         net.deliver(0);
         NODES.forEach(name => net.sync(name));
       }
     }
-    expect(net.settle()).toBe(true);
+    expect(net.runUntilCommitted()).toBe(true);
     expect(net.get(leader).node.role).toBe('leader');
     expect(net.get(leader).node.term).toBe(term);
   });
--- a/test/coordination/share_adjuster.test.ts
+++ b/test/coordination/share_adjuster.test.ts
@@ -260,7 +260,7 @@
 
 describe('a fleet whose traffic rises by half for a while', () => {
   const play = (followsDemand: boolean) =>
-    EngineFleet.play({
+    EngineFleet.run({
       profile: PROFILE_12_6,
       domains: {a: 27, b: 27, c: 27},
       demand: {big: 1.1, low: 4.8},
--- a/test/coordination/unknown_voter.test.ts
+++ b/test/coordination/unknown_voter.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, test} from 'vitest';
 import {LogEntry} from '../../src/protocol/log_entry';
 import {createRandom} from '../support/create_random';
-import {RaftNet} from '../support/raft_net';
+import {RaftNetwork} from '../support/raft_network';
 
 // Guards against refusing a vote because the candidate is not a voter in the log of
 // the node that is asked. A voter was replaced while another one lagged behind; then
@@ -32,18 +32,18 @@
 };
 
 /** The remaining voters: c has the voter change, d lags behind, the replacement has all entries. */
-function createSurvivors(change: LogEntry, replacement: string): RaftNet {
-  const net = RaftNet.create(FOUNDERS, createRandom(1));
+function createSurvivors(change: LogEntry, replacement: string): RaftNetwork {
+  const net = RaftNetwork.create(FOUNDERS, createRandom(1));
   FOUNDERS.forEach(identity => net.crash(identity));
   const vote = {term: 1, votedFor: undefined};
-  net.place('c', {...vote, entries: [change]});
-  net.place('d', {...vote, entries: []});
+  net.addNode('c', {...vote, entries: [change]});
+  net.addNode('d', {...vote, entries: []});
   const entries = [change, ACKNOWLEDGED];
-  net.place(replacement, {...vote, entries, commitIndex: 1});
+  net.addNode(replacement, {...vote, entries, commitIndex: 1});
   return net;
 }
 
-function listLeaders(net: RaftNet): string[] {
+function listLeaders(net: RaftNetwork): string[] {
   return net.identities.filter(name => {
     const {node, isUp} = net.get(name);
     return isUp && node.role === 'leader';
@@ -68,13 +68,13 @@
   });
 
   test('does not disturb a live leader', () => {
-    const net = RaftNet.create(FOUNDERS, createRandom(2));
+    const net = RaftNetwork.create(FOUNDERS, createRandom(2));
     net.run(2_000);
     const [leader] = listLeaders(net);
     const {term} = net.get(leader).node;
     const vote = {term: 1, votedFor: undefined};
     const change = replaceVoter('e', 'f/1');
-    net.place('f/1', {...vote, entries: [change]});
+    net.addNode('f/1', {...vote, entries: [change]});
     net.run(5_000);
 
     expect(listLeaders(net)).toEqual([leader]);
--- a/test/end_to_end/whole_path.test.ts
+++ b/test/end_to_end/whole_path.test.ts
@@ -45,7 +45,7 @@
   entryId = 'entry-1',
 ): Promise<Response> {
   const headers = {authorization: `Bearer ${KEY}`, ...init.headers};
-  return fetch(`${fleet.entryUrl(entryId)}${path}`, {...init, headers});
+  return fetch(`${fleet.getEntryUrl(entryId)}${path}`, {...init, headers});
 }
 
 function complete(body: object): Promise<Response> {
@@ -135,7 +135,7 @@
 
 test('wrong requests get a problem document and never run', async () => {
   const before = fleet.findEngine('h1').totalRuns;
-  const unknownKey = await fetch(`${fleet.entryUrl()}/v1/chat/completions`, {
+  const unknownKey = await fetch(`${fleet.getEntryUrl()}/v1/chat/completions`, {
     method: 'POST',
   });
   const unknownModel = await complete({model: 'nobody'});
@@ -175,7 +175,7 @@
 });
 
 test('a body is read only for a known key, and only up to the limit', async () => {
-  const url = `${fleet.entryUrl()}/v1/chat/completions`;
+  const url = `${fleet.getEntryUrl()}/v1/chat/completions`;
   const body = 'x'.repeat(5 * 1024 * 1024);
   const stranger = await call({url, method: 'POST', headers: {}, body});
   const known = await call({
--- a/test/gateway/backend_shutdown.test.ts
+++ b/test/gateway/backend_shutdown.test.ts
@@ -2,8 +2,8 @@
 // in its responses: they continued until the control plane learned of it from
 // the backend server itself.
 import {afterEach, expect, test} from 'vitest';
-import {chunk, events} from '../support/backend_scripts';
-import {BackendSlots} from '../support/backend_slots';
+import {encodeChunk, encodeEvents} from '../support/backend_scripts';
+import {RestartingBackends} from '../support/restarting_backends';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
@@ -23,7 +23,7 @@
 
 test('a backend server that announces its shutdown gets no new requests and completes those it has', async () => {
   const reached: number[] = [];
-  const slots = await BackendSlots.create({
+  const slots = await RestartingBackends.create({
     count: 2,
     handle: ({headers, socket}) => {
       const id = headers.get('request-id') ?? '';
@@ -38,21 +38,21 @@
       for (let at = 1; at <= EVENTS; at += 1) {
         const last = at === EVENTS ? '0\r\n\r\n' : '';
         setTimeout(
-          () => socket.write(chunk(events(at)) + last),
+          () => socket.write(encodeChunk(encodeEvents(at)) + last),
           (at - 1) * BETWEEN_EVENTS_MS,
         );
       }
     },
-    endsUnder: () => false,
-    endsAfterMs: 0,
-    backAfterMs: 0,
+    crashesOn: () => false,
+    crashDelayMs: 0,
+    restartDelayMs: 0,
   });
   const fleet = await GatewayFleet.create({
     gateways: GATEWAYS,
     stopWithinMs: 8_000,
     route: {},
     handle: () => undefined,
-    slots,
+    restartingBackends: slots,
   });
   closers.push(async () => {
     slots.close();
--- a/test/gateway/backoff_request.test.ts
+++ b/test/gateway/backoff_request.test.ts
@@ -2,7 +2,7 @@
 // a backoff: as nothing ran there, it was the least loaded one and got every
 // request.
 import {afterEach, expect, test} from 'vitest';
-import {BackendSlots} from '../support/backend_slots';
+import {RestartingBackends} from '../support/restarting_backends';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
@@ -23,7 +23,7 @@
 
 test('a backend server that asks for a backoff gets no requests that another one can take', async () => {
   const reached: number[] = [];
-  const slots = await BackendSlots.create({
+  const slots = await RestartingBackends.create({
     count: 2,
     handle: ({headers, socket}) => {
       const id = headers.get('request-id') ?? '';
@@ -38,16 +38,16 @@
         `HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nseal: s\r\ncontent-length: 2\r\n\r\nok`,
       );
     },
-    endsUnder: () => false,
-    endsAfterMs: 0,
-    backAfterMs: 0,
+    crashesOn: () => false,
+    crashDelayMs: 0,
+    restartDelayMs: 0,
   });
   const fleet = await GatewayFleet.create({
     gateways: 1,
     stopWithinMs: 8_000,
     route: {kind: 'safe', maxAttempts: 2},
     handle: () => undefined,
-    slots,
+    restartingBackends: slots,
   });
   closers.push(async () => {
     slots.close();
--- a/test/gateway/crash_containment_simulation.test.ts
+++ b/test/gateway/crash_containment_simulation.test.ts
@@ -4,7 +4,7 @@
  */
 import {describe, expect, test} from 'vitest';
 import {CrashFleetOptions} from '../support/crash_fleet_options';
-import {playCrashes} from '../support/crash_fleet';
+import {runCrashFleet} from '../support/crash_fleet';
 import {createRandom} from '../support/create_random';
 
 const SEEDS = [1, 2, 3, 4, 5, 6];
@@ -12,10 +12,10 @@
   gateways: 5,
   servers: 9,
   perSecond: 80,
-  lengthMs: 700,
-  forMs: 15_000,
+  streamMs: 700,
+  durationMs: 15_000,
   marked: 1,
-  repeatEveryMs: 400,
+  poisonRetryMs: 400,
   losses: [],
   newsMs: 30,
 };
@@ -34,16 +34,22 @@
   const results = [];
   for (const seed of SEEDS) {
     const random = createRandom(seed);
-    results.push(await playCrashes({...LOAD, ...changes, random}));
+    results.push(await runCrashFleet({...LOAD, ...changes, random}));
   }
-  const ended = results.flatMap(({endedByMarked}) => endedByMarked).sort();
+  const ended = results
+    .flatMap(({crashesByPoisonRequest: endedByMarked}) => endedByMarked)
+    .sort();
   return {
     ended,
     median: ended[Math.floor(ended.length / 2)],
     most: Math.max(0, ...ended),
-    sentAfterKnown: results.map(({sentAfterKnown}) => sentAfterKnown),
-    knownAfterMs: results.flatMap(({knownAfterMs}) => knownAfterMs),
-    refused: results.map(({healthyRefused}) => healthyRefused),
+    sentAfterKnown: results.map(
+      ({sentAfterVerdict: sentAfterKnown}) => sentAfterKnown,
+    ),
+    knownAfterMs: results.flatMap(
+      ({propagationMs: knownAfterMs}) => knownAfterMs,
+    ),
+    refused: results.map(({healthyRejected: healthyRefused}) => healthyRefused),
   };
 }
 
--- a/test/gateway/crash_detector.test.ts
+++ b/test/gateway/crash_detector.test.ts
@@ -2,14 +2,14 @@
 import {EventRing} from '../../src/common/event_ring';
 import {systemClock} from '../../src/common/system_clock';
 import {CrashDetector} from '../../src/gateway/crash_detector';
-import {BackendStandIn} from '../support/backend_stand_in';
+import {FakeBackend} from '../support/fake_backend';
 
-const backends: BackendStandIn[] = [];
+const backends: FakeBackend[] = [];
 
 afterEach(() => backends.splice(0).forEach(backend => backend.close()));
 
 async function start() {
-  const backend = await BackendStandIn.create(() => undefined);
+  const backend = await FakeBackend.create(() => undefined);
   backends.push(backend);
   const events = EventRing.create();
   const detector = CrashDetector.create({clock: systemClock, events});
--- a/test/gateway/crashing_request.test.ts
+++ b/test/gateway/crashing_request.test.ts
@@ -8,8 +8,8 @@
  * counted as a new request.
  */
 import {afterEach, expect, test} from 'vitest';
-import {streamSteadily} from '../support/backend_scripts';
-import {BackendSlots} from '../support/backend_slots';
+import {sendPacedStream} from '../support/backend_scripts';
+import {RestartingBackends} from '../support/restarting_backends';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
@@ -29,19 +29,19 @@
 });
 
 async function start() {
-  const slots = await BackendSlots.create({
+  const slots = await RestartingBackends.create({
     count: 8,
-    handle: streamSteadily(5, 40),
-    endsUnder: body => body === CRASH,
-    endsAfterMs: 50,
-    backAfterMs: 800,
+    handle: sendPacedStream(5, 40),
+    crashesOn: body => body === CRASH,
+    crashDelayMs: 50,
+    restartDelayMs: 800,
   });
   const fleet = await GatewayFleet.create({
     gateways: GATEWAYS,
     stopWithinMs: 8_000,
     route: {isResumable: true, maxAttempts: 3},
     handle: () => undefined,
-    slots,
+    restartingBackends: slots,
   });
   closers.push(() => fleet.close());
   return {slots, fleet};
@@ -79,9 +79,9 @@
   }
   healthy.stop();
 
-  expect(slots.ends.length).toBeLessThanOrEqual(MOST_ENDED);
-  const lastEnd = Math.max(...slots.ends);
-  const later = slots.reached.filter(
+  expect(slots.stopTimes.length).toBeLessThanOrEqual(MOST_ENDED);
+  const lastEnd = Math.max(...slots.stopTimes);
+  const later = slots.receivedRequests.filter(
     ({at, body}) => body === CRASH && at > lastEnd,
   );
   expect(later).toEqual([]);
--- a/test/gateway/frozen_gateway.test.ts
+++ b/test/gateway/frozen_gateway.test.ts
@@ -6,7 +6,7 @@
  * for stalls saw the process's own pause in every resumable stream.
  */
 import {afterEach, expect, test} from 'vitest';
-import {streamSteadily} from '../support/backend_scripts';
+import {sendPacedStream} from '../support/backend_scripts';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
@@ -22,7 +22,7 @@
 });
 
 /** A stream whose own pauses are far below the stall timeout. */
-const stream = streamSteadily(EVENTS, BETWEEN_EVENTS_MS);
+const stream = sendPacedStream(EVENTS, BETWEEN_EVENTS_MS);
 
 function freezeThisProcess(): void {
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, FROZEN_MS);
--- a/test/gateway/load_balancer_herding.test.ts
+++ b/test/gateway/load_balancer_herding.test.ts
@@ -1,6 +1,9 @@
 import {describe, expect, test} from 'vitest';
 import {createRandom} from '../support/create_random';
-import {CrowdResult, playCrowd} from '../support/gateway_crowd';
+import {
+  BalancingResult,
+  runBalancingSimulation,
+} from '../support/run_balancing_simulation';
 
 // Guards against herding: each gateway gets the load of the others every 250
 // ms, so all of them saw the same least loaded engine and sent to it until the
@@ -33,14 +36,19 @@
 function play(
   sizes: {gateways: number; heads: number},
   opensAt: readonly number[] = [],
-): CrowdResult[] {
+): BalancingResult[] {
   return SEEDS.map(seed =>
-    playCrowd({...CROWD, ...sizes, opensAt, random: createRandom(seed)}),
+    runBalancingSimulation({
+      ...CROWD,
+      ...sizes,
+      engineStartTimes: opensAt,
+      random: createRandom(seed),
+    }),
   );
 }
 
-function listLate(results: readonly CrowdResult[]): number[] {
-  return results.map(({late}) => late);
+function listLate(results: readonly BalancingResult[]): number[] {
+  return results.map(({lateFraction: late}) => late);
 }
 
 describe('streams that many gateways send to the same engines', () => {
--- a/test/gateway/planned_stop.test.ts
+++ b/test/gateway/planned_stop.test.ts
@@ -13,7 +13,7 @@
 import * as net from 'node:net';
 import {afterEach, expect, test} from 'vitest';
 import {GatewayServer} from '../../src/gateway/gateway_server';
-import {events, streamSteadily} from '../support/backend_scripts';
+import {encodeEvents, sendPacedStream} from '../support/backend_scripts';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
@@ -34,7 +34,7 @@
 });
 
 /** A stream that lasts one second. */
-const streamSlowly = streamSteadily(EVENTS, BETWEEN_EVENTS_MS);
+const streamSlowly = sendPacedStream(EVENTS, BETWEEN_EVENTS_MS);
 
 /** Sends requests at a steady rate on new connections, and in sequence on persistent ones. */
 class LoadGenerator {
@@ -205,7 +205,7 @@
     handle: ({socket, headers}) => {
       const id = headers.get('request-id');
       socket.write(
-        `HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nseal: s\r\ncontent-type: text/event-stream\r\n\r\n${events(1)}`,
+        `HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nseal: s\r\ncontent-type: text/event-stream\r\n\r\n${encodeEvents(1)}`,
       );
       setTimeout(() => socket.resetAndDestroy(), 100);
     },
--- a/test/gateway/rate_limited_backend.test.ts
+++ b/test/gateway/rate_limited_backend.test.ts
@@ -2,7 +2,7 @@
 // of a backend server that announced one, and kept sending as many requests as
 // before.
 import {afterEach, expect, test} from 'vitest';
-import {BackendSlots} from '../support/backend_slots';
+import {RestartingBackends} from '../support/restarting_backends';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
@@ -35,7 +35,7 @@
   'a backend server that announces a limit gets no more than it tolerates from %d gateways together',
   async gateways => {
     const reached: number[] = [];
-    const slots = await BackendSlots.create({
+    const slots = await RestartingBackends.create({
       count: 2,
       handle: ({headers, socket}) => {
         const isLimited = headers.get('incarnation')?.startsWith('s0');
@@ -48,16 +48,16 @@
           `HTTP/1.1 200 OK\r\nrequest-id: ${id}\r\nseal: s\r\n${limit}content-length: 2\r\n\r\nok`,
         );
       },
-      endsUnder: () => false,
-      endsAfterMs: 0,
-      backAfterMs: 0,
+      crashesOn: () => false,
+      crashDelayMs: 0,
+      restartDelayMs: 0,
     });
     const fleet = await GatewayFleet.create({
       gateways,
       stopWithinMs: 8_000,
       route: {kind: 'safe', maxAttempts: 2},
       handle: () => undefined,
-      slots,
+      restartingBackends: slots,
     });
     closers.push(async () => {
       slots.close();
--- a/test/gateway/stale_rules.test.ts
+++ b/test/gateway/stale_rules.test.ts
@@ -7,7 +7,7 @@
  * be revoked; denying that a route or key exists requires current rules.
  */
 import {afterEach, expect, test} from 'vitest';
-import {streamSteadily} from '../support/backend_scripts';
+import {sendPacedStream} from '../support/backend_scripts';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {waitUntil} from '../support/wait_until';
 
@@ -24,7 +24,7 @@
     // Above the 0.5 s for which control holds a poll, the usual age of a confirmation.
     changesWithinMs: 1_500,
     route: {},
-    handle: streamSteadily(2, 10),
+    handle: sendPacedStream(2, 10),
   });
   fleets.push(fleet);
   const callUnknown = (id: string) => fleet.call(0, id, false, 'unknown');
--- a/test/gateway/suspended_gateway.test.ts
+++ b/test/gateway/suspended_gateway.test.ts
@@ -5,7 +5,7 @@
  * clock showed 0.1 s. It would have accepted a key that was revoked meanwhile.
  */
 import {afterEach, expect, test} from 'vitest';
-import {streamSteadily} from '../support/backend_scripts';
+import {sendPacedStream} from '../support/backend_scripts';
 import {GatewayFleet} from '../support/gateway_fleet';
 import {suspend} from '../support/suspension';
 import {waitUntil} from '../support/wait_until';
@@ -25,7 +25,7 @@
     gateways: 1,
     stopWithinMs: 8_000,
     route: {},
-    handle: streamSteadily(2, 10),
+    handle: sendPacedStream(2, 10),
   });
   closers.push(() => fleet.close());
   return fleet;
--- a/test/gateway/unavailable_backends.test.ts
+++ b/test/gateway/unavailable_backends.test.ts
@@ -1,6 +1,11 @@
 import {describe, expect, test} from 'vitest';
 import {PermitVerdict} from '../../src/protocol/permit_verdict';
-import {answer, notRun, start, write} from '../support/backend_scripts';
+import {
+  sendOk,
+  refuseNotRun,
+  startFixture,
+  writeRaw,
+} from '../support/backend_scripts';
 import {waitUntil} from '../support/wait_until';
 
 const LATER: PermitVerdict = {kind: 'later', pauseMs: 400, intervalMs: 1_000};
@@ -17,8 +22,8 @@
  * on by this verdict.
  */
 async function startLimited(verdict: PermitVerdict | undefined, count = 2) {
-  const handlers = ['first', 'second'].map(text => answer(text));
-  const {fixture, backends} = await start(handlers.slice(0, count));
+  const handlers = ['first', 'second'].map(text => sendOk(text));
+  const {fixture, backends} = await startFixture(handlers.slice(0, count));
   if (verdict) {
     fixture.answerPermit = () => Promise.resolve(verdict);
   }
@@ -29,12 +34,12 @@
 describe('a request for a rate-limited backend server', () => {
   test('is sent with a permit', async () => {
     const {fixture} = await startLimited(GRANTED);
-    expect(await fixture.ask()).toMatchObject({status: 200, body: 'first'});
+    expect(await fixture.send()).toMatchObject({status: 200, body: 'first'});
   });
 
   test('is sent without a permit once the control plane lists no limit', async () => {
     const {fixture} = await startLimited(FREE);
-    expect(await fixture.ask()).toMatchObject({status: 200, body: 'first'});
+    expect(await fixture.send()).toMatchObject({status: 200, body: 'first'});
     expect(fixture.signals.limits.isLimited('i0')).toBe(false);
   });
 
@@ -43,13 +48,13 @@
     ['there is no leader', undefined],
   ])('is sent to another one at once if %s', async (_why, verdict) => {
     const {fixture, backends} = await startLimited(verdict);
-    expect(await fixture.ask()).toMatchObject({status: 200, body: 'second'});
+    expect(await fixture.send()).toMatchObject({status: 200, body: 'second'});
     expect(backends[0].requests).toEqual([]);
   });
 
   test('is refused at once if there is no other, with the delay until the next permit', async () => {
     const {fixture, backends} = await startLimited(LATER, 1);
-    const {status, headers, body} = await fixture.ask();
+    const {status, headers, body} = await fixture.send();
     expect(status).toBe(503);
     expect(body).toContain('nothing more to i0 by the limit that it names');
     const retryMs = Number(headers['retry-after']) * 1_000;
@@ -58,7 +63,7 @@
     expect(backends[0].requests).toEqual([]);
 
     // The next caller gets a longer delay than the one before.
-    const next = await fixture.ask();
+    const next = await fixture.send();
     const nextMs = Number(next.headers['retry-after']) * 1_000;
     expect(nextMs).toBeGreaterThan(retryMs);
     expect(nextMs).toBeLessThanOrEqual(HELD_MS * MAX_RETRY_AFTER_FRACTION);
@@ -66,16 +71,16 @@
 });
 
 test('a backend server that restarts at its address is free of the signals of its former incarnation', async () => {
-  const {fixture} = await start([answer('again')]);
+  const {fixture} = await startFixture([sendOk('again')]);
   const before = {incarnation: 'i0', sentAt: 0};
   const head = {limitPerSecond: 0, restMs: 60_000, isLeaving: true};
   fixture.signals.recordHead({...before, head: {...head, isSealed: true}});
-  expect((await fixture.ask()).status).toBe(503);
+  expect((await fixture.send()).status).toBe(503);
   const [[, target]] = fixture.targets;
   const restarted = {...target, incarnation: 'i0-again'};
-  fixture.board.setTargets(new Map([['i0-again', restarted]]));
+  fixture.balancer.setTargets(new Map([['i0-again', restarted]]));
 
-  expect(await fixture.ask()).toMatchObject({status: 200, body: 'again'});
+  expect(await fixture.send()).toMatchObject({status: 200, body: 'again'});
 });
 
 describe('a request that waits for a connection', () => {
@@ -85,14 +90,14 @@
     ['announces its shutdown', {isLeaving: true}],
   ])('is sent elsewhere once its backend server %s', async (_what, said) => {
     const silent = () => undefined;
-    const {fixture, backends} = await start([silent, answer('second')]);
-    fixture.board.setTargets(new Map(fixture.targets.slice(0, 1)));
+    const {fixture, backends} = await startFixture([silent, sendOk('second')]);
+    fixture.balancer.setTargets(new Map(fixture.targets.slice(0, 1)));
     for (let count = 0; count < CONNECTIONS; count += 1) {
-      fixture.open();
+      fixture.startRequest();
     }
-    const waiting = fixture.ask();
-    await waitUntil('all sent', () => fixture.flowCount > CONNECTIONS);
-    fixture.board.setTargets(new Map(fixture.targets));
+    const waiting = fixture.send();
+    await waitUntil('all sent', () => fixture.requestCount > CONNECTIONS);
+    fixture.balancer.setTargets(new Map(fixture.targets));
     const head = {...said, isSealed: true};
     fixture.signals.recordHead({incarnation: 'i0', head, sentAt: 0});
 
@@ -103,31 +108,31 @@
 
 describe('a rate limit', () => {
   test('remains after an unsealed response', async () => {
-    const unsealed = write(
+    const unsealed = writeRaw(
       'HTTP/1.1 503 Full\nrequest-id: q\nnot-run: 1\ncontent-length: 0\n\n',
     );
-    const {fixture} = await start([unsealed, answer('second')]);
+    const {fixture} = await startFixture([unsealed, sendOk('second')]);
     fixture.answerPermit = () => Promise.resolve(GRANTED);
     fixture.signals.limits.record('i0', 5, 0);
-    await fixture.ask();
+    await fixture.send();
     expect(fixture.signals.limits.isLimited('i0')).toBe(true);
   });
 
   test('ends with a response without one', async () => {
     const {fixture} = await startLimited(GRANTED);
-    await fixture.ask();
+    await fixture.send();
     expect(fixture.signals.limits.isLimited('i0')).toBe(false);
   });
 });
 
 describe('a request whose backend servers are unavailable', () => {
   test('is refused at once during the backoff of the only one, until that is over', async () => {
-    const refusal = write(
+    const refusal = writeRaw(
       'HTTP/1.1 503 Busy\nrequest-id: q\nnot-run: 1\nrest-ms: 700\ncontent-length: 0\n\n',
     );
-    const {fixture, backends} = await start([refusal]);
-    const first = await fixture.ask();
-    const second = await fixture.ask();
+    const {fixture, backends} = await startFixture([refusal]);
+    const first = await fixture.send();
+    const second = await fixture.send();
     for (const {status, headers, body} of [first, second]) {
       expect(status).toBe(503);
       expect(body).toContain('nothing more to i0 since it asked for rest');
@@ -137,18 +142,23 @@
   });
 
   test('is refused once the only one has announced its shutdown', async () => {
-    const {fixture, backends} = await start([answer('bye', 'leaving: 1\n')]);
-    expect(await fixture.ask()).toMatchObject({status: 200, body: 'bye'});
-    const {status, body} = await fixture.ask();
+    const {fixture, backends} = await startFixture([
+      sendOk('bye', 'leaving: 1\n'),
+    ]);
+    expect(await fixture.send()).toMatchObject({status: 200, body: 'bye'});
+    const {status, body} = await fixture.send();
     expect(status).toBe(503);
     expect(body).toContain('nothing more to i0 since it leaves');
     expect(backends[0].requests.length).toBe(1);
   });
 
   test('is sent as before after a refusal without a backoff', async () => {
-    const {fixture, backends} = await start([notRun, answer('second')]);
-    expect(await fixture.ask()).toMatchObject({status: 200, body: 'second'});
-    expect(await fixture.ask()).toMatchObject({status: 200, body: 'second'});
+    const {fixture, backends} = await startFixture([
+      refuseNotRun,
+      sendOk('second'),
+    ]);
+    expect(await fixture.send()).toMatchObject({status: 200, body: 'second'});
+    expect(await fixture.send()).toMatchObject({status: 200, body: 'second'});
     expect(backends[0].requests.length).toBe(2);
   });
 });
--- a/test/scenarios/scenarios.test.ts
+++ b/test/scenarios/scenarios.test.ts
@@ -13,7 +13,7 @@
       parse(readFileSync(path.join(__dirname, file), 'utf8')),
     );
     test(`${scenario.title} (${file})`, {timeout: 120_000}, () =>
-      ScenarioRunner.play(scenario),
+      ScenarioRunner.run(scenario),
     );
   }
 });
--- a/test/soak/soak_faults.ts
+++ b/test/soak/soak_faults.ts
@@ -72,7 +72,9 @@
       this.isOver = true;
       // A lane that goes on would start processes after the end of the run.
       await Promise.allSettled(lanes);
-      this.options.fleet.relays.select('*', '*').forEach(link => link.heal());
+      this.options.fleet.relays
+        .select('*', '*')
+        .forEach(link => link.restore());
     }
   }
 
@@ -105,9 +107,9 @@
       [`disk of ${ip} lost`]: () => machine.restartKilled(0, true),
       [`${ip} cut off`]: () => hold(links, forMs, link => link.break()),
       [`${ip} not heard`]: () =>
-        hold(relays.select(ip, '*'), forMs, link => link.silence(['forward'])),
+        hold(relays.select(ip, '*'), forMs, link => link.pause(['forward'])),
       'control links go silent': async () =>
-        between.forEach(link => link.silenceOpen()),
+        between.forEach(link => link.pauseOpenForever()),
       'control stopped by turns': async () => {
         for (const one of controls) {
           await one.restartStopped();
@@ -214,11 +216,11 @@
     [`${what} delayed`]: () => hold(links, forMs, link => link.delay(delayMs)),
     [`${what} reset`]: async () => links.forEach(link => link.reset()),
     [`${what} cut there`]: () =>
-      hold(links, forMs, link => link.silence(['forward'])),
+      hold(links, forMs, link => link.pause(['forward'])),
     [`${what} cut back`]: () =>
-      hold(links, forMs, link => link.silence(['back'])),
+      hold(links, forMs, link => link.pause(['back'])),
     [`${what} silent for good`]: async () =>
-      links.forEach(link => link.silenceOpen()),
+      links.forEach(link => link.pauseOpenForever()),
   };
 }
 
@@ -229,7 +231,7 @@
 ): Promise<void> {
   links.forEach(disturb);
   await sleep(forMs);
-  links.forEach(link => link.heal());
+  links.forEach(link => link.restore());
 }
 
 function drawMs(random: Random): number {
--- a/test/soak/soak_fleet.ts
+++ b/test/soak/soak_fleet.ts
@@ -2,7 +2,7 @@
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import * as path from 'node:path';
-import {RelayNet} from '../support/relay_net';
+import {RelayNetwork} from '../support/relay_network';
 import {reservePort} from '../support/reserve_port';
 import {createRandom} from './create_random';
 import {SoakBackend} from './soak_backend';
@@ -30,7 +30,7 @@
   readonly signals: SoakSignals[] = [];
   /** What backend servers did, by request id. */
   readonly work = new Map<string, SoakWork>();
-  readonly relays = RelayNet.create();
+  readonly relays = RelayNetwork.create();
   private readonly folder = mkdtempSync(path.join(tmpdir(), 'whinreel-soak-'));
   private readonly random: () => number;
 
--- a/test/support/backend_scripts.ts
+++ b/test/support/backend_scripts.ts
@@ -2,10 +2,10 @@
 import {afterEach} from 'vitest';
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
-import {BackendStandIn} from './backend_stand_in';
-import {FlowFixture} from './flow_fixture';
+import {FakeBackend} from './fake_backend';
+import {ProxyFixture} from './proxy_fixture';
 
-type Handler = Parameters<typeof BackendStandIn.create>[0];
+type Handler = Parameters<typeof FakeBackend.create>[0];
 type Route = GatewayRules['routes'][number];
 
 const closers: Array<() => unknown> = [];
@@ -16,50 +16,50 @@
   }
 });
 
-export async function start(
+export async function startFixture(
   handlers: readonly Handler[],
   route: Partial<Route> = {},
   target: Partial<GatewayTarget> = {},
 ) {
   const backends = await Promise.all(
-    handlers.map(handle => BackendStandIn.create(handle)),
+    handlers.map(handle => FakeBackend.create(handle)),
   );
-  const fixture = await FlowFixture.create(backends, route, target);
+  const fixture = await ProxyFixture.create(backends, route, target);
   closers.push(...backends.map(backend => () => backend.close()), () =>
     fixture.close(),
   );
   return {fixture, backends};
 }
 
-export function write(text: string): Handler {
+export function writeRaw(text: string): Handler {
   return ({socket}) => socket.write(text.replaceAll('\n', '\r\n'));
 }
 
-export function answer(body: string, headers = ''): Handler {
-  return write(
+export function sendOk(body: string, headers = ''): Handler {
+  return writeRaw(
     `HTTP/1.1 200 OK\nrequest-id: q\nseal: s\ncontent-length: ${body.length}\n${headers}\n${body}`,
   );
 }
 
-export const reset: Handler = ({socket}) => socket.resetAndDestroy();
-export const notRun = write(
+export const resetConnection: Handler = ({socket}) => socket.resetAndDestroy();
+export const refuseNotRun = writeRaw(
   'HTTP/1.1 503 Full\nnot-run: 1\ncontent-length: 0\n\n',
 );
 export const STREAM_HEAD =
   'HTTP/1.1 200 OK\nrequest-id: q\nseal: first\ncontent-type: text/event-stream\ntransfer-encoding: chunked\n\n';
 
 /** One chunk of an HTTP body. */
-export function chunk(text: string): string {
+export function encodeChunk(text: string): string {
   return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
 
 /** Events with these numbers. */
-export function events(...ids: number[]): string {
+export function encodeEvents(...ids: number[]): string {
   return ids.map(id => `id: ${id}\ndata: t${id}\n\n`).join('');
 }
 
 /** A stream from an event on, ended or left hanging. */
-export function stream(
+export function sendStream(
   seal: string,
   ids: number[],
   end: 'whole' | 'reset' | 'silent',
@@ -67,7 +67,7 @@
 ): Handler {
   return ({socket}) => {
     socket.write(STREAM_HEAD.replace('first', seal).replaceAll('\n', '\r\n'));
-    socket.write(chunk(events(...ids) + extra));
+    socket.write(encodeChunk(encodeEvents(...ids) + extra));
     if (end === 'whole') {
       setTimeout(() => socket.write('0\r\n\r\n'), 10);
     } else if (end === 'reset') {
@@ -77,7 +77,7 @@
 }
 
 /** A stream under its own request's id, with an event after each pause. */
-export function streamSteadily(count: number, betweenMs: number): Handler {
+export function sendPacedStream(count: number, betweenMs: number): Handler {
   return ({socket, headers}) => {
     const id = headers.get('request-id') ?? '';
     socket.write(
@@ -89,7 +89,7 @@
     for (let at = 1; at <= count; at += 1) {
       setTimeout(() => {
         const last = at === count ? '0\r\n\r\n' : '';
-        socket.write(chunk(events(at)) + last);
+        socket.write(encodeChunk(encodeEvents(at)) + last);
       }, at * betweenMs);
     }
   };
--- a/test/support/engine_passes.ts
+++ b/test/support/batching_engine.ts
@@ -5,7 +5,7 @@
  */
 
 /** How fast it is. */
-export interface PassProfile {
+export interface BatchingProfile {
   readonly slots: number;
   readonly stepMs: number;
   readonly stepMsPerRequest: number;
@@ -28,19 +28,19 @@
 }
 
 /** Plays the passes of one engine. */
-export class EnginePasses {
+export class BatchingEngine {
   private readonly queue: Job[] = [];
   private running: Job[] = [];
   private passEndsAt: number | undefined;
 
-  private constructor(private readonly profile: PassProfile) {}
+  private constructor(private readonly profile: BatchingProfile) {}
 
-  static create(profile: PassProfile): EnginePasses {
-    return new EnginePasses(profile);
+  static create(profile: BatchingProfile): BatchingEngine {
+    return new BatchingEngine(profile);
   }
 
   /** When the pass under way ends; undefined while there is nothing to do. */
-  get nextAt(): number | undefined {
+  get batchEndsAt(): number | undefined {
     return this.passEndsAt;
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** Ends the pass whose time has come. */
-  endPass(): void {
+  endBatch(): void {
     const at = this.passEndsAt ?? 0;
     for (const job of this.running.filter(({unreadTokens}) => !unreadTokens)) {
       job.onEvent(at, job.hasBegun ? at - job.lastEventAt : 0);
--- a/test/support/list_groups_wanted.ts
+++ b/test/support/compute_group_demand.ts
@@ -6,7 +6,7 @@
  * @example
  * const wanted = listGroupsWanted(options, 6_000);
  */
-export function listGroupsWanted(
+export function computeGroupDemand(
   {profile, demand, burst}: EngineFleetOptions,
   now: number,
 ): Map<string, number> {
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -9,11 +9,11 @@
 import {RequestIdentity} from '../../src/gateway/request_identity';
 import {SuspectTrial} from '../../src/gateway/suspect_trial';
 import {VirtualTime} from '../simulation/virtual_time';
-import {CrashControl} from './crash_control';
+import {SimulatedControl} from './simulated_control';
 import {CrashFleetOptions} from './crash_fleet_options';
 import {Flow, Gateway, Run, Server} from './crash_fleet_parts';
 import {CrashFleetResult} from './crash_fleet_result';
-import {useVirtualTimeouts} from './use_virtual_timeouts';
+import {installVirtualTimeouts} from './install_virtual_timeouts';
 
 /** From an arrival at a backend server to its end, or to a first event. */
 const ENDS_AFTER_MS = 60;
@@ -29,20 +29,20 @@
  * @example
  * const {endedByMarked} = await playCrashes(options);
  */
-export async function playCrashes(
+export async function runCrashFleet(
   options: CrashFleetOptions,
 ): Promise<CrashFleetResult> {
   const time = VirtualTime.create();
-  const restore = useVirtualTimeouts(time);
+  const restore = installVirtualTimeouts(time);
   try {
-    return await new CrashFleet(time, options).play();
+    return await new CrashFleet(time, options).run();
   } finally {
     restore();
   }
 }
 
 class CrashFleet {
-  private readonly control: CrashControl;
+  private readonly control: SimulatedControl;
   private readonly servers: Server[];
   private readonly gateways: Gateway[];
   private readonly ended: number[];
@@ -56,7 +56,7 @@
     private readonly time: VirtualTime,
     private readonly options: CrashFleetOptions,
   ) {
-    this.control = CrashControl.create(time, options, () => this.gateways);
+    this.control = SimulatedControl.create(time, options, () => this.gateways);
     this.ended = Array.from({length: options.marked}, () => 0);
     this.servers = Array.from({length: options.servers}, () => ({
       incarnation: this.nameStart(),
@@ -70,11 +70,16 @@
     }));
   }
 
-  async play(): Promise<CrashFleetResult> {
-    const {forMs, losses, marked, killEveryMs, leaderLostEveryMs} =
-      this.options;
+  async run(): Promise<CrashFleetResult> {
+    const {
+      durationMs: forMs,
+      losses,
+      marked,
+      killEveryMs,
+      leaderLostEveryMs,
+    } = this.options;
     this.repeatEvery(killEveryMs, () => this.killGateway());
-    this.repeatEvery(leaderLostEveryMs, () => this.control.loseLeader());
+    this.repeatEvery(leaderLostEveryMs, () => this.control.stopLeader());
     this.arrive();
     this.check();
     losses.forEach(({at, count}) =>
@@ -85,14 +90,14 @@
     }
     await this.time.runUntil(forMs, () => false);
     this.gateways.forEach(({containment}) => containment.close());
-    const knownAfterMs = this.control.listKnownAfterMs();
+    const knownAfterMs = this.control.listPropagationMs();
     return {
-      endedByMarked: this.ended,
-      sentAfterKnown: this.sentAfterKnown,
-      knownAfterMs,
+      crashesByPoisonRequest: this.ended,
+      sentAfterVerdict: this.sentAfterKnown,
+      propagationMs: knownAfterMs,
       healthy: this.healthy,
-      healthyRefused: this.healthyRefused,
-      repeatDelaysMs: this.delays,
+      healthyRejected: this.healthyRefused,
+      retryDelaysMs: this.delays,
     };
   }
 
@@ -115,7 +120,7 @@
     gateway.flows.clear();
     gateway.containment = this.createContainment();
     gateway.isReady = false;
-    this.control.tell(gateway);
+    this.control.sendSnapshot(gateway);
   }
 
   private nameStart(): string {
@@ -146,7 +151,7 @@
 
   private repeatMarked(marked: number): void {
     this.begin(`marked ${marked}`, marked);
-    const {random, repeatEveryMs} = this.options;
+    const {random, poisonRetryMs: repeatEveryMs} = this.options;
     const afterMs = repeatEveryMs * (0.5 + random());
     this.time.after(afterMs, () => this.repeatMarked(marked));
   }
@@ -251,7 +256,7 @@
     if (flow.brokeAt !== undefined && !flow.isMarked) {
       this.delays.push(now - flow.brokeAt);
     }
-    if (flow.isMarked && this.control.knownAt.has(flow.identity.name)) {
+    if (flow.isMarked && this.control.fullyKnownAt.has(flow.identity.name)) {
       this.sentAfterKnown += 1;
     }
     flow.tried.add(server.incarnation);
@@ -268,7 +273,7 @@
         flow.trial.recordResponseStart();
       }
     });
-    this.time.after(this.options.lengthMs, () => {
+    this.time.after(this.options.streamMs, () => {
       if (flow.run === run) {
         server.running.delete(run);
         flow.trial.recordCompletion();
--- a/test/support/crash_fleet_options.ts
+++ b/test/support/crash_fleet_options.ts
@@ -4,11 +4,11 @@
   readonly servers: number;
   /** Healthy streams a second at all gateways. */
   readonly perSecond: number;
-  readonly lengthMs: number;
-  readonly forMs: number;
+  readonly streamMs: number;
+  readonly durationMs: number;
   /** Different requests that end backend servers, and how often each is repeated by its caller. */
   readonly marked: number;
-  readonly repeatEveryMs: number;
+  readonly poisonRetryMs: number;
   /** When backend servers end by themselves, and how many. */
   readonly losses: ReadonlyArray<{readonly at: number; readonly count: number}>;
   /** Between two kills of a gateway, which forgets everything; none without it. */
--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -17,8 +17,8 @@
 import {EngineFleetResult} from './engine_fleet_result';
 import {EngineHost} from './engine_host';
 import {FleetEvent} from './fleet_event';
-import {listGroupsWanted} from './list_groups_wanted';
-import {StoreLoads} from './store_loads';
+import {computeGroupDemand} from './compute_group_demand';
+import {WeightStore} from './weight_store';
 
 const PLAN_EVERY_MS = 40;
 const SILENT_AFTER_MS = 3_600;
@@ -44,7 +44,7 @@
   private readonly releasedAt = new Map<number, number>();
   private readonly returnsAt = new Map<string, number>();
   private readonly pressedAt = new Map<string, number>();
-  private readonly loads: StoreLoads;
+  private readonly loads: WeightStore;
   private rebalancedAt = -Infinity;
   private readonly follower = ShareAdjuster.create();
   private readonly covered: Array<ReadonlyMap<string, number>> = [];
@@ -52,7 +52,7 @@
   private readonly log: string[] = [];
 
   private constructor(private readonly options: EngineFleetOptions) {
-    this.loads = StoreLoads.create(options.profile);
+    this.loads = WeightStore.create(options.profile);
   }
 
   /**
@@ -61,10 +61,10 @@
    * @example
    * const {covered} = EngineFleet.play({profile, domains: {d: 11}, demand: {big: 1.8}, events, lengthMs, random});
    */
-  static play(options: EngineFleetOptions): EngineFleetResult {
+  static run(options: EngineFleetOptions): EngineFleetResult {
     const fleet = new EngineFleet(options);
     fleet.settle();
-    fleet.run();
+    fleet.processEvents();
     return fleet.describe();
   }
 
@@ -75,8 +75,8 @@
     for (const [domain, count] of Object.entries(domains)) {
       for (let number = 0; number < count; number += 1) {
         const host = this.addHost(domain);
-        host.held = first;
-        host.staged = others.slice(-profile.keptModels);
+        host.loadedModel = first;
+        host.stagedModels = others.slice(-profile.keptModels);
       }
     }
     for (let step = 0; step < SETTLING_STEPS; step += 1) {
@@ -85,13 +85,15 @@
       this.plan();
     }
     for (const host of this.hosts.values()) {
-      host.staged = [first, ...others].filter(name => name !== host.held);
+      host.stagedModels = [first, ...others].filter(
+        name => name !== host.loadedModel,
+      );
     }
     this.loads.clear();
     this.log.length = 0;
   }
 
-  private run(): void {
+  private processEvents(): void {
     const {lengthMs, events} = this.options;
     const due = [...events].sort((left, right) => left.at - right.at);
     for (this.now = 0; this.now < lengthMs; this.now += PLAN_EVERY_MS) {
@@ -128,7 +130,7 @@
       const lost = members.at(Math.floor(random() * members.length));
       if (lost) {
         lost.silentSince = this.now;
-        lost.isGone = true;
+        lost.isLost = true;
       }
       return;
     }
@@ -155,7 +157,7 @@
     const {now} = this;
     const backends = [...this.hosts.values()]
       .filter(
-        host => !host.isGone || !this.isLost(host.id) || this.findGroup(host),
+        host => !host.isLost || !this.isLost(host.id) || this.findGroup(host),
       )
       .map(host => host.createView());
     const well = backends.filter(
@@ -185,7 +187,10 @@
         hasLeaver: group =>
           group.members
             .slice(1)
-            .some(({incarnation}) => !this.hosts.get(incarnation)?.isIn(group)),
+            .some(
+              ({incarnation}) =>
+                !this.hosts.get(incarnation)?.isMemberOf(group),
+            ),
         policy,
       }),
     );
@@ -207,7 +212,7 @@
     const {follower} = this;
     const demand = createDemand(
       profile,
-      listGroupsWanted(this.options, this.now),
+      computeGroupDemand(this.options, this.now),
     );
     return createEnginePlanInput({
       adjuster: follower,
@@ -260,14 +265,14 @@
     if (!host || !model || host.silentSince !== undefined) {
       return;
     }
-    const isInGroup = group !== undefined && host.isIn(group);
+    const isInGroup = group !== undefined && host.isMemberOf(group);
     if (kind === 'join' || kind === 'stage') {
       const isDone =
         kind === 'join' && (isInGroup || (isParking && host.group));
       if (isDone || host.isBusy(kind) || !this.canLoad(order, model.loadMs)) {
         return;
       }
-      const {slowness} = this.loads;
+      const {slowdown: slowness} = this.loads;
       if (kind === 'stage') {
         host.stage(model, this.now, slowness);
       } else if (group) {
@@ -284,7 +289,7 @@
   }
 
   private canLoad({isLoad, kind}: Order, loadMs: number): boolean {
-    return !isLoad || this.loads.take(kind === 'stage', loadMs, this.now);
+    return !isLoad || this.loads.startLoad(kind === 'stage', loadMs, this.now);
   }
 
   private findGroup(host: EngineHost): EngineGroup | undefined {
@@ -296,7 +301,7 @@
   /** The part of each model's demand that its open, whole groups can serve now. */
   private measure(): Map<string, number> {
     const {profile} = this.options;
-    const demand = listGroupsWanted(this.options, this.now);
+    const demand = computeGroupDemand(this.options, this.now);
     return new Map(
       profile.models.map(({name}) => {
         const supply = this.groups
@@ -316,7 +321,7 @@
       ({incarnation}) => this.hosts.get(incarnation) ?? [],
     );
     const [head] = hosts;
-    const isOpen = head.isIn(group) && head.group?.state === 'open';
+    const isOpen = head.isMemberOf(group) && head.group?.state === 'open';
     const isWhole = hosts.every(host => host.silentSince === undefined);
     const isFar = new Set(hosts.map(host => host.domain)).size > 1;
     return isOpen && isWhole ? 1 / (isFar ? FAR_FACTOR : 1) : 0;
@@ -336,7 +341,7 @@
     }
     const group = this.findGroup(host);
     if (!group) {
-      return host.held === undefined ? 'loading' : 'free';
+      return host.loadedModel === undefined ? 'loading' : 'free';
     }
     if (group.isEnding) {
       const isHeld = this.isLost(group.members[0].incarnation);
@@ -364,7 +369,7 @@
       covered: average(means),
       worst: average(windows.slice(0, 2)),
       byModel,
-      loads: this.loads.count,
+      loads: this.loads.loadCount,
       hostSeconds: Object.fromEntries(this.hostSeconds),
       log: this.log,
     };
--- a/test/support/engine_host.ts
+++ b/test/support/engine_host.ts
@@ -16,13 +16,13 @@
 /** Takes orders and tells its state; time is passed in, in milliseconds. */
 export class EngineHost {
   /** The model in memory. */
-  held: string | undefined;
+  loadedModel: string | undefined;
   /** Models of which the host has a copy, the newest last. */
-  staged: string[] = [];
+  stagedModels: string[] = [];
   group: BackendRegistration['group'];
   silentSince: number | undefined;
   /** It never comes back. */
-  isGone = false;
+  isLost = false;
   private seenAt = 0;
   private joining: Work | undefined;
   private staging: Work | undefined;
@@ -61,7 +61,7 @@
     const {joining, staging} = this;
     if (joining && joining.doneAt <= now && this.group) {
       this.joining = undefined;
-      this.held = joining.model;
+      this.loadedModel = joining.model;
       this.group = {...this.group, state: 'ready'};
       // Whatever it joins becomes its newest copy, also what it had in memory.
       this.keepCopy(joining.model);
@@ -81,7 +81,7 @@
     return (kind === 'join' ? this.joining : this.staging) !== undefined;
   }
 
-  isIn({name, epoch}: Pick<EngineGroup, 'name' | 'epoch'>): boolean {
+  isMemberOf({name, epoch}: Pick<EngineGroup, 'name' | 'epoch'>): boolean {
     return this.group?.name === name && this.group.epoch === epoch;
   }
 
@@ -92,7 +92,8 @@
       ({incarnation}) => incarnation === this.id,
     );
     const {name, epoch} = group;
-    this.held = this.held === model.name ? this.held : undefined;
+    this.loadedModel =
+      this.loadedModel === model.name ? this.loadedModel : undefined;
     this.joining = {model: model.name, doneAt: now + tookMs};
     this.opensAt = Infinity;
     this.group = {name, epoch, rank, state: 'joining'};
@@ -128,16 +129,16 @@
       sequence: 1,
       slots: this.profile.slots,
       domain: this.domain,
-      stagedModels: [...this.staged],
-      model: this.held,
+      stagedModels: [...this.stagedModels],
+      model: this.loadedModel,
       group: this.group,
     };
-    const {seenAt, held: heldModel} = this;
+    const {seenAt, loadedModel: heldModel} = this;
     return {registration, seenAt, firstSeenAt: 0, loadedModel: heldModel};
   }
 
   private keepCopy(model: string): void {
-    const others = this.staged.filter(name => name !== model);
-    this.staged = [...others, model].slice(-this.profile.keptModels);
+    const others = this.stagedModels.filter(name => name !== model);
+    this.stagedModels = [...others, model].slice(-this.profile.keptModels);
   }
 }
--- a/test/support/engine_plan.ts
+++ b/test/support/engine_plan.ts
@@ -8,7 +8,7 @@
 import {EngineProfile} from '../../src/protocol/engine_profile';
 
 export const NOW = 100_000;
-export type Told = NonNullable<BackendRegistration['group']>;
+export type GroupReport = NonNullable<BackendRegistration['group']>;
 
 /** A large model on four hosts and a small one on two. */
 export const PROFILE: EngineProfile = {
@@ -29,7 +29,7 @@
   openMs: 300,
 };
 
-export function host(
+export function createHost(
   incarnation: string,
   changes: Partial<BackendRegistration> = {},
   seenAt = NOW,
@@ -50,17 +50,17 @@
   return {registration, seenAt, firstSeenAt: 0, loadedModel: heldModel};
 }
 
-export function hosts(
+export function createHosts(
   domain: string,
   count: number,
   changes: Partial<BackendRegistration> = {},
 ): BackendView[] {
   return Array.from({length: count}, (_, at) =>
-    host(`${domain}${at}`, {domain, ...changes}),
+    createHost(`${domain}${at}`, {domain, ...changes}),
   );
 }
 
-export function group(
+export function createGroup(
   members: string[],
   changes: Partial<EngineGroup> = {},
 ): EngineGroup {
@@ -80,11 +80,15 @@
   };
 }
 
-export function told(state: Told['state'], rank = 0, epoch = 7): {group: Told} {
+export function createGroupReport(
+  state: GroupReport['state'],
+  rank = 0,
+  epoch = 7,
+): {group: GroupReport} {
   return {group: {name: 'low-1', epoch, rank, state}};
 }
 
-export function plan(changes: Partial<EnginePlanInput>): EngineAction[] {
+export function createPlan(changes: Partial<EnginePlanInput>): EngineAction[] {
   return planEngineGroups({
     pool: 'p',
     profile: PROFILE,
--- a/test/support/backend_stand_in.ts
+++ b/test/support/fake_backend.ts
@@ -12,7 +12,7 @@
 type Handler = (request: ArrivedRequest) => void;
 
 /** Listens on loopback; each request is handed to the test. */
-export class BackendStandIn {
+export class FakeBackend {
   readonly requests: ArrivedRequest[] = [];
   private readonly sockets = new Set<net.Socket>();
 
@@ -21,17 +21,17 @@
     readonly address: string,
   ) {}
 
-  static async create(handle: Handler): Promise<BackendStandIn> {
+  static async create(handle: Handler): Promise<FakeBackend> {
     const server = net.createServer();
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
     const {port} = server.address() as net.AddressInfo;
-    const backend = new BackendStandIn(server, `127.0.0.1:${port}`);
+    const backend = new FakeBackend(server, `127.0.0.1:${port}`);
     server.on('connection', socket => backend.accept(socket, handle));
     return backend;
   }
 
   /** Connections that were made so far and still stand. */
-  get openConnections(): number {
+  get openConnectionCount(): number {
     return this.sockets.size;
   }
 
--- a/test/support/gateway_fleet.ts
+++ b/test/support/gateway_fleet.ts
@@ -7,8 +7,8 @@
 import {GatewayServer} from '../../src/gateway/gateway_server';
 import {ControlClient} from '../../src/protocol/control_client';
 import {GatewayRules} from '../../src/protocol/gateway_rules';
-import {BackendSlots} from './backend_slots';
-import {BackendStandIn} from './backend_stand_in';
+import {RestartingBackends} from './restarting_backends';
+import {FakeBackend} from './fake_backend';
 import {plainDialect} from './plain_dialect';
 import {reservePort} from './reserve_port';
 import {waitUntil} from './wait_until';
@@ -26,9 +26,9 @@
   /** Within which a change of rules is in force everywhere, in milliseconds. */
   readonly changesWithinMs?: number;
   readonly route: Partial<GatewayRules['routes'][number]>;
-  readonly handle: Parameters<typeof BackendStandIn.create>[0];
+  readonly handle: Parameters<typeof FakeBackend.create>[0];
   /** Backend servers in place of the only one that never ends; `handle` is passed over. */
-  readonly slots?: BackendSlots;
+  readonly restartingBackends?: RestartingBackends;
   /** Connections that the backend server takes from all gateways and one more. */
   readonly maxConnections?: number;
 }
@@ -55,8 +55,8 @@
     private readonly control: ControlServer,
     private readonly client: ControlClient,
     readonly gateways: readonly GatewayServer[],
-    readonly backend: BackendStandIn,
-    private readonly slots: BackendSlots | undefined,
+    readonly backend: FakeBackend,
+    private readonly restartingBackends: RestartingBackends | undefined,
   ) {
     this.ports = gateways.map(({port}) => port);
   }
@@ -95,8 +95,8 @@
         }),
       ),
     );
-    const backend = await BackendStandIn.create(options.handle);
-    const {slots} = options;
+    const backend = await FakeBackend.create(options.handle);
+    const {restartingBackends: slots} = options;
     const fleet = new GatewayFleet(control, client, gateways, backend, slots);
     await fleet.begin(createRules(options));
     return fleet;
@@ -155,7 +155,7 @@
     await Promise.all(this.gateways.map(gateway => gateway.close()));
     this.client.close();
     this.backend.close();
-    this.slots?.close();
+    this.restartingBackends?.close();
     await this.control.close();
   }
 
@@ -173,7 +173,9 @@
   private register(): void {
     const {address} = this.backend;
     const alone = [{incarnation: 'i0', address}];
-    (this.slots?.list() ?? alone).forEach(start => this.registerOne(start));
+    (this.restartingBackends?.list() ?? alone).forEach(start =>
+      this.registerOne(start),
+    );
   }
 
   private registerOne(start: {incarnation: string; address: string}): void {
--- a/test/support/use_virtual_timeouts.ts
+++ b/test/support/install_virtual_timeouts.ts
@@ -5,7 +5,7 @@
  *
  * @returns puts the timers of this process back
  */
-export function useVirtualTimeouts(time: VirtualTime): () => void {
+export function installVirtualTimeouts(time: VirtualTime): () => void {
   const {setTimeout: set, clearTimeout: clear} = globalThis;
   const cleared = new WeakSet<object>();
   const setVirtual = (act: () => void, ms = 0) => {
--- a/test/support/flow_fixture.ts
+++ b/test/support/proxy_fixture.ts
@@ -17,7 +17,7 @@
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {PermitVerdict} from '../../src/protocol/permit_verdict';
 import {HttpOrigins} from '../../src/transport/http_origins';
-import {BackendStandIn} from './backend_stand_in';
+import {FakeBackend} from './fake_backend';
 import {plainDialect} from './plain_dialect';
 
 type Route = GatewayRules['routes'][number];
@@ -49,7 +49,7 @@
 }
 
 /** A small gateway of one route. */
-export class FlowFixture {
+export class ProxyFixture {
   readonly results: RequestResult[] = [];
   /** What the board was told at first. */
   targets: Array<[string, GatewayTarget]> = [];
@@ -67,7 +67,7 @@
     askPermit: () => this.answerPermit(),
     onNews: () => undefined,
   });
-  readonly board = LoadBalancer.create(
+  readonly balancer = LoadBalancer.create(
     'z',
     systemClock,
     () => 0,
@@ -83,7 +83,7 @@
     onEnded: () => undefined,
   });
   private readonly origins = HttpOrigins.create();
-  private readonly flows = new Set<ProxiedRequest>();
+  private readonly requests = new Set<ProxiedRequest>();
   private readonly timer: NodeJS.Timeout;
 
   private constructor(
@@ -92,35 +92,35 @@
     private readonly model: string | undefined,
   ) {
     this.timer = setInterval(() => {
-      this.flows.forEach(flow => flow.check(systemClock.now()));
+      this.requests.forEach(flow => flow.check(systemClock.now()));
     }, CHECK_MS);
   }
 
   static async create(
-    backends: readonly BackendStandIn[],
+    backends: readonly FakeBackend[],
     changes: Partial<Route> = {},
     target: Partial<GatewayTarget> = {},
-  ): Promise<FlowFixture> {
+  ): Promise<ProxyFixture> {
     const server = http.createServer();
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
     const route = {...ROUTE, ...changes};
-    const fixture = new FlowFixture(server, route, target.model);
+    const fixture = new ProxyFixture(server, route, target.model);
     fixture.targets = backends.map(({address}, at) => {
       const incarnation = `i${at}`;
       const place = {pool: 'p', address, zone: 'z', slots: 4};
       return [incarnation, {incarnation, ...place, ...target}];
     });
-    fixture.board.setTargets(new Map(fixture.targets));
+    fixture.balancer.setTargets(new Map(fixture.targets));
     server.on('request', (message, response) =>
-      fixture.start(message, response),
+      fixture.handleRequest(message, response),
     );
     return fixture;
   }
 
   /** Sends one request and reads its answer to the end. */
-  ask(headers: Record<string, string> = {}, body = ''): Promise<Received> {
+  send(headers: Record<string, string> = {}, body = ''): Promise<Received> {
     return new Promise((resolve, reject) => {
-      const request = this.open(headers, body);
+      const request = this.startRequest(headers, body);
       request.on('error', reject);
       request.on('response', answer => {
         let text = '';
@@ -139,7 +139,10 @@
   }
 
   /** Sends one request and leaves its answer to the test. */
-  open(headers: Record<string, string> = {}, body = ''): http.ClientRequest {
+  startRequest(
+    headers: Record<string, string> = {},
+    body = '',
+  ): http.ClientRequest {
     const {port} = this.server.address() as AddressInfo;
     const request = http.request({
       port,
@@ -155,8 +158,8 @@
   }
 
   /** Requests that were taken so far. */
-  get flowCount(): number {
-    return this.flows.size;
+  get requestCount(): number {
+    return this.requests.size;
   }
 
   async close(): Promise<void> {
@@ -166,7 +169,7 @@
     await this.origins.close();
   }
 
-  private start(
+  private handleRequest(
     message: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
@@ -195,7 +198,7 @@
         arrivedAt,
         response: ResponseWriter.create(response, 'request-id', () => false),
         origins: this.origins,
-        balancer: this.board,
+        balancer: this.balancer,
         budget: RetryBudget.create(
           {ratio: 1, windowMs: 10_000, slack: 100},
           systemClock,
@@ -208,7 +211,7 @@
           this.results.push(result);
         },
       });
-      this.flows.add(flow);
+      this.requests.add(flow);
     });
   }
 }
--- a/test/support/raft_net.ts
+++ b/test/support/raft_network.ts
@@ -9,7 +9,7 @@
 
 const TIMING = {heartbeatMs: 50, electionMs: 300, leaseMs: 225};
 
-interface Flight {
+interface MessageInFlight {
   readonly from: string;
   readonly to: string;
   readonly message: RaftMessage;
@@ -39,10 +39,10 @@
 }
 
 /** Steps nodes by hand; every choice comes from outside. */
-export class RaftNet {
+export class RaftNetwork {
   now = 0;
   readonly members = new Map<string, Member>();
-  readonly flights: Flight[] = [];
+  readonly messagesInFlight: MessageInFlight[] = [];
   /** Every leader that was ever seen, by term. */
   readonly leaders = new Map<number, string>();
   /** Every entry that was ever committed anywhere, by index. */
@@ -59,12 +59,15 @@
     }
   }
 
-  static create(identities: readonly string[], random: () => number): RaftNet {
-    return new RaftNet(identities, random);
+  static create(
+    identities: readonly string[],
+    random: () => number,
+  ): RaftNetwork {
+    return new RaftNetwork(identities, random);
   }
 
   /** Puts a node with this disk in, one that was there before or a new one. */
-  place(identity: string, disk: Disk): void {
+  addNode(identity: string, disk: Disk): void {
     this.members.set(identity, this.startMember(identity, disk));
   }
 
@@ -98,9 +101,9 @@
 
   /** Delivers one message under way; a cut link loses it. */
   deliver(at: number, isKept = false): void {
-    const flight = this.flights[at];
+    const flight = this.messagesInFlight[at];
     if (!isKept) {
-      this.flights.splice(at, 1);
+      this.messagesInFlight.splice(at, 1);
     }
     const {from, to, message} = flight;
     if (!this.cuts.has(`${from}>${to}`)) {
@@ -147,7 +150,7 @@
   }
 
   /** Runs without faults until a leader has committed something new everywhere. */
-  settle(): boolean {
+  runUntilCommitted(): boolean {
     this.heal();
     for (const [identity, member] of this.members) {
       if (!member.isUp) {
@@ -163,7 +166,7 @@
         .forEach(name => this.propose(name, round));
       for (let count = 0; count < 50; count += 1) {
         this.identities.forEach(identity => this.sync(identity));
-        if (this.flights.length === 0) {
+        if (this.messagesInFlight.length === 0) {
           break;
         }
         this.deliver(0);
@@ -189,7 +192,7 @@
   /** False when nothing was under way or on its way to a disk. */
   private deliverAll(): boolean {
     this.identities.forEach(identity => this.sync(identity));
-    const count = this.flights.length;
+    const count = this.messagesInFlight.length;
     for (let done = 0; done < count; done += 1) {
       this.deliver(0);
     }
@@ -257,7 +260,7 @@
   private sendAll(from: string, messages: RaftEffects['messages']): void {
     // Messages travel as bytes, so a receiver never shares an object with a sender.
     messages.forEach(({to, message}) => {
-      this.flights.push({from, to, message: structuredClone(message)});
+      this.messagesInFlight.push({from, to, message: structuredClone(message)});
     });
   }
 }
--- a/test/support/limit_crowd.ts
+++ b/test/support/rate_limit_simulation.ts
@@ -16,7 +16,7 @@
 const WINDOW_MS = 4_000;
 
 /** Sizes and load of a crowd. */
-interface LimitCrowdOptions {
+interface RateLimitSimulationOptions {
   readonly gateways: number;
   /** Requests a second that the backend server names at a moment; undefined for none. */
   readonly limitAt: (at: number) => number | undefined;
@@ -27,32 +27,32 @@
 }
 
 /** One request that reached the backend server. */
-interface Reached {
+interface ReceivedRequest {
   readonly at: number;
   readonly gateway: number;
   /** Its gateway had heard of the limit. */
-  readonly isByPermit: boolean;
+  readonly isLimitKnown: boolean;
 }
 
-class CrowdGateway {
+class SimulatedGateway {
   limits: BackendRateLimits;
   /** Frozen or suspended until then. */
-  awayUntil = -Infinity;
-  isCutOff = false;
+  pausedUntil = -Infinity;
+  isPartitioned = false;
   /** Time that its steady clock did not count. */
-  uncountedMs = 0;
+  suspendedMs = 0;
   readonly steady: Clock;
 
   constructor(
     readonly index: number,
-    private readonly crowd: LimitCrowd,
+    private readonly simulation: RateLimitSimulation,
   ) {
-    this.steady = {now: () => crowd.time.now() - this.uncountedMs};
+    this.steady = {now: () => simulation.time.now() - this.suspendedMs};
     this.limits = this.start();
   }
 
   start(): BackendRateLimits {
-    const {crowd, steady} = this;
+    const {simulation: crowd, steady} = this;
     this.limits = BackendRateLimits.create({
       clock: steady,
       leaseClock: crowd.time,
@@ -65,30 +65,30 @@
 }
 
 /** A crowd at work. */
-export class LimitCrowd {
+export class RateLimitSimulation {
   readonly time = VirtualTime.create();
-  readonly gateways: CrowdGateway[];
-  readonly reached: Reached[] = [];
+  readonly gateways: SimulatedGateway[];
+  readonly receivedRequests: ReceivedRequest[] = [];
   /** When the first answer named the limit. */
-  firstNamedAt: number | undefined;
-  asks = 0;
-  private desk: RateLimitService | undefined;
+  firstAdvertisedAt: number | undefined;
+  permitRequestCount = 0;
+  private limitService: RateLimitService | undefined;
   private term = 0;
 
-  private constructor(private readonly options: LimitCrowdOptions) {
+  private constructor(private readonly options: RateLimitSimulationOptions) {
     this.gateways = Array.from(
       {length: options.gateways},
-      (_, index) => new CrowdGateway(index, this),
+      (_, index) => new SimulatedGateway(index, this),
     );
   }
 
-  static create(options: LimitCrowdOptions): LimitCrowd {
-    const crowd = new LimitCrowd(options);
+  static create(options: RateLimitSimulationOptions): RateLimitSimulation {
+    const crowd = new RateLimitSimulation(options);
     // It has led for long enough that no other leader's permits are in use.
     crowd.elect(-60_000);
     crowd.gateways.forEach(gateway => {
       crowd.time.after(options.random() * TELL_EVERY_MS, () =>
-        crowd.exchangeForever(gateway),
+        crowd.repeatExchange(gateway),
       );
       crowd.arrive(gateway);
     });
@@ -101,7 +101,7 @@
 
   /** Nobody leads for a while, and then another process does. */
   changeLeader(withoutMs: number): void {
-    this.desk = undefined;
+    this.limitService = undefined;
     this.time.after(withoutMs, () => this.elect(this.time.now()));
   }
 
@@ -113,18 +113,18 @@
   /** A machine stands still; its steady clock may not count that. */
   pause(gateway: number, ms: number, isSuspended: boolean): void {
     const paused = this.gateways[gateway];
-    paused.awayUntil = this.time.now() + ms;
-    paused.uncountedMs += isSuspended ? ms : 0;
+    paused.pausedUntil = this.time.now() + ms;
+    paused.suspendedMs += isSuspended ? ms : 0;
   }
 
   /** Gateways that know the limit now. */
-  countKnowing(): number {
+  countInformed(): number {
     return this.gateways.filter(({limits}) => limits.isLimited(BACKEND)).length;
   }
 
   /** The most requests of gateways that had heard, over any window that ends after a moment. */
-  countMost(from = 0): number {
-    const times = this.listSent(from);
+  countMaxPerWindow(from = 0): number {
+    const times = this.listInformedRequestTimes(from);
     let most = 0;
     let first = 0;
     times.forEach((at, last) => {
@@ -137,63 +137,63 @@
   }
 
   /** Requests of gateways that had heard, between two moments. */
-  countSent(from: number, to: number): number {
-    return this.listSent(from).filter(at => at < to).length;
+  countInformedRequests(from: number, to: number): number {
+    return this.listInformedRequestTimes(from).filter(at => at < to).length;
   }
 
-  private listSent(from: number): number[] {
-    const sent = this.reached.filter(
-      ({at, isByPermit}) => isByPermit && at >= from,
+  private listInformedRequestTimes(from: number): number[] {
+    const sent = this.receivedRequests.filter(
+      ({at, isLimitKnown: isByPermit}) => isByPermit && at >= from,
     );
     return sent.map(({at}) => at).sort((left, right) => left - right);
   }
 
   /** Lets something happen at a gateway, as soon as it runs. */
-  actAt(gateway: CrowdGateway, inMs: number, act: () => void): void {
+  runWhenAwake(gateway: SimulatedGateway, inMs: number, act: () => void): void {
     this.time.after(inMs, () => {
-      const away = gateway.awayUntil - this.time.now();
-      return away > 0 ? this.actAt(gateway, away, act) : act();
+      const away = gateway.pausedUntil - this.time.now();
+      return away > 0 ? this.runWhenAwake(gateway, away, act) : act();
     });
   }
 
   askPermit(
-    gateway: CrowdGateway,
+    gateway: SimulatedGateway,
     limit: LimitWord,
   ): ReturnType<Parameters<typeof BackendRateLimits.create>[0]['askPermit']> {
-    this.asks += 1;
+    this.permitRequestCount += 1;
     const {limits} = gateway;
     return new Promise((resolve, reject) => {
-      this.actAt(gateway, 100, () => reject(new Error('no leader')));
+      this.runWhenAwake(gateway, 100, () => reject(new Error('no leader')));
       this.time.after(this.drawDelay(), () => {
         const ask = {type: 'permit-ask' as const, call: 0, limit};
         const answer =
-          gateway.isCutOff || gateway.limits !== limits
+          gateway.isPartitioned || gateway.limits !== limits
             ? undefined
-            : this.desk?.handlers['permit-ask']({
+            : this.limitService?.handlers['permit-ask']({
                 ...ask,
                 gatewayId: `g${gateway.index}`,
               });
         if (answer?.type === 'permit-answer') {
           const {verdict} = answer;
-          this.actAt(gateway, this.drawDelay(), () => resolve(verdict));
+          this.runWhenAwake(gateway, this.drawDelay(), () => resolve(verdict));
         }
       });
     });
   }
 
   /** One question about news, and its answer. */
-  exchange(gateway: CrowdGateway): void {
+  exchange(gateway: SimulatedGateway): void {
     const {limits} = gateway;
     const {limitsTag, limits: words} = limits.describeNews();
     this.time.after(this.drawDelay(), () => {
-      const {desk} = this;
-      if (!desk || gateway.isCutOff) {
+      const {limitService: desk} = this;
+      if (!desk || gateway.isPartitioned) {
         return;
       }
       desk.recordReports(`g${gateway.index}`, words);
       const tag = desk.readTag();
       const news = tag === limitsTag ? [] : desk.listChangesSince(limitsTag);
-      this.actAt(gateway, this.drawDelay(), () => {
+      this.runWhenAwake(gateway, this.drawDelay(), () => {
         if (gateway.limits === limits) {
           limits.applyNews(words, tag, news);
         }
@@ -201,43 +201,46 @@
     });
   }
 
-  private exchangeForever(gateway: CrowdGateway): void {
+  private repeatExchange(gateway: SimulatedGateway): void {
     this.exchange(gateway);
-    this.actAt(gateway, TELL_EVERY_MS, () => this.exchangeForever(gateway));
+    this.runWhenAwake(gateway, TELL_EVERY_MS, () =>
+      this.repeatExchange(gateway),
+    );
   }
 
   private elect(leadingSince: number): void {
     this.term += 1;
     const {term} = this;
-    this.desk = RateLimitService.create({
+    this.limitService = RateLimitService.create({
       runtime: {raft: {term}, leadingSince},
       registry: {find: () => undefined},
       clock: this.time,
       events: EventRing.create(),
       leaderName: `c${term}`,
-      notify: () => this.gateways.forEach(gateway => this.wake(gateway, term)),
+      notify: () =>
+        this.gateways.forEach(gateway => this.notify(gateway, term)),
     });
   }
 
   /** A question that control holds is answered as soon as there is news. */
-  private wake(gateway: CrowdGateway, term: number): void {
+  private notify(gateway: SimulatedGateway, term: number): void {
     this.time.after(5, () => {
       if (this.term === term) {
-        this.actAt(gateway, 0, () => this.exchange(gateway));
+        this.runWhenAwake(gateway, 0, () => this.exchange(gateway));
       }
     });
   }
 
   /** Requests that this gateway would send there, one after the other. */
-  private arrive(gateway: CrowdGateway): void {
+  private arrive(gateway: SimulatedGateway): void {
     const {random, demandAt} = this.options;
     const perSecond = demandAt(this.time.now(), gateway.index);
     if (perSecond === 0) {
-      this.actAt(gateway, 100, () => this.arrive(gateway));
+      this.runWhenAwake(gateway, 100, () => this.arrive(gateway));
       return;
     }
     const inMs = (-Math.log(1 - random()) / perSecond) * 1_000;
-    this.actAt(gateway, Math.min(inMs, 1_000), () => {
+    this.runWhenAwake(gateway, Math.min(inMs, 1_000), () => {
       if (inMs <= 1_000) {
         void this.place(gateway);
       }
@@ -245,7 +248,7 @@
     });
   }
 
-  private async place(gateway: CrowdGateway): Promise<void> {
+  private async place(gateway: SimulatedGateway): Promise<void> {
     const {limits} = gateway;
     if (!limits.isAvailable(BACKEND)) {
       return;
@@ -258,18 +261,22 @@
     }
   }
 
-  private send(gateway: CrowdGateway, isByPermit: boolean): void {
+  private send(gateway: SimulatedGateway, isByPermit: boolean): void {
     const {limits} = gateway;
     const sentAt = gateway.steady.now();
     this.time.after(this.drawDelay(), () => {
       const at = this.time.now();
-      this.reached.push({at, gateway: gateway.index, isByPermit});
+      this.receivedRequests.push({
+        at,
+        gateway: gateway.index,
+        isLimitKnown: isByPermit,
+      });
       const answerMs = 20 + this.options.random() * 200;
       this.time.after(answerMs, () => {
         const limit = this.options.limitAt(this.time.now());
-        this.actAt(gateway, this.drawDelay(), () => {
+        this.runWhenAwake(gateway, this.drawDelay(), () => {
           if (limit !== undefined) {
-            this.firstNamedAt ??= this.time.now();
+            this.firstAdvertisedAt ??= this.time.now();
           }
           if (gateway.limits === limits) {
             limits.record(BACKEND, limit, sentAt);
--- a/test/support/relay.ts
+++ b/test/support/relay.ts
@@ -2,12 +2,12 @@
 import * as net from 'node:net';
 import {RelayPair} from './relay_pair';
 
-type Way = 'forward' | 'back';
+type Direction = 'forward' | 'back';
 
 /** Passes bytes on until it is told otherwise. */
 export class Relay {
   private readonly pairs = new Set<RelayPair>();
-  private readonly silenced = new Set<Way>();
+  private readonly pausedDirections = new Set<Direction>();
   private isBroken = false;
   private delayMs = 0;
 
@@ -33,19 +33,19 @@
     return (this.server.address() as net.AddressInfo).port;
   }
 
-  aim(targetPort: number): void {
+  setTarget(targetPort: number): void {
     this.targetPort = targetPort;
   }
 
   /** Keeps connections open but lets no byte pass in these ways. */
-  silence(ways: readonly Way[]): void {
-    ways.forEach(way => this.silenced.add(way));
-    this.pairs.forEach(pair => pair.silence(this.silenced));
+  pause(ways: readonly Direction[]): void {
+    ways.forEach(way => this.pausedDirections.add(way));
+    this.pairs.forEach(pair => pair.pause(this.pausedDirections));
   }
 
   /** Open connections pass nothing any more, not even their end; new ones work. */
-  silenceOpen(): void {
-    this.pairs.forEach(pair => pair.silenceForGood());
+  pauseOpenForever(): void {
+    this.pairs.forEach(pair => pair.pauseForever());
   }
 
   /** Bytes read from now on arrive this much later, in milliseconds. */
@@ -65,11 +65,11 @@
   }
 
   /** Lets everything pass again; held bytes arrive late. */
-  heal(): void {
+  restore(): void {
     this.isBroken = false;
     this.delayMs = 0;
-    this.silenced.clear();
-    this.pairs.forEach(pair => pair.silence(this.silenced));
+    this.pausedDirections.clear();
+    this.pairs.forEach(pair => pair.pause(this.pausedDirections));
   }
 
   close(): void {
@@ -90,6 +90,6 @@
       () => this.pairs.delete(pair),
     );
     this.pairs.add(pair);
-    pair.silence(this.silenced);
+    pair.pause(this.pausedDirections);
   }
 }
--- a/test/support/relay_net.ts
+++ b/test/support/relay_network.ts
@@ -2,13 +2,13 @@
 import {Relay} from './relay';
 
 /** Gives out a relay for each pair that a scenario may cut. */
-export class RelayNet {
+export class RelayNetwork {
   private readonly relays = new Map<string, Relay>();
 
   private constructor() {}
 
-  static create(): RelayNet {
-    return new RelayNet();
+  static create(): RelayNetwork {
+    return new RelayNetwork();
   }
 
   /** The port on which `from` reaches `to`; `*` stands for everybody. */
@@ -21,7 +21,7 @@
     const name = createName(from, to);
     const known = this.relays.get(name);
     if (known) {
-      known.aim(targetPort);
+      known.setTarget(targetPort);
       return known.port;
     }
     const relay = await Relay.create(targetPort, targetHost);
@@ -31,7 +31,7 @@
 
   /** Points an open relay to another port. */
   aim(from: string, to: string, targetPort: number): void {
-    this.relays.get(createName(from, to))?.aim(targetPort);
+    this.relays.get(createName(from, to))?.setTarget(targetPort);
   }
 
   /** Every relay whose ends fit; `*` fits all. */
--- a/test/support/relay_pair.ts
+++ b/test/support/relay_pair.ts
@@ -1,11 +1,11 @@
 /** The two connections behind one accepted by a relay. */
 import * as net from 'node:net';
 
-type Way = 'forward' | 'back';
+type Direction = 'forward' | 'back';
 
 /** Passes bytes and ends from one to the other, both ways. */
 export class RelayPair {
-  private isSilent = false;
+  private isPausedForever = false;
 
   private constructor(
     private readonly near: net.Socket,
@@ -31,13 +31,13 @@
   }
 
   /** Lets nothing pass in these ways; all others pass. */
-  silence(ways: ReadonlySet<Way>): void {
+  pause(ways: ReadonlySet<Direction>): void {
     const {near, far} = this;
     for (const [socket, way] of [
       [near, 'forward'],
       [far, 'back'],
     ] as const) {
-      if (this.isSilent || ways.has(way)) {
+      if (this.isPausedForever || ways.has(way)) {
         socket.pause();
       } else {
         socket.resume();
@@ -46,8 +46,8 @@
   }
 
   /** Neither bytes nor ends pass any more. */
-  silenceForGood(): void {
-    this.isSilent = true;
+  pauseForever(): void {
+    this.isPausedForever = true;
     this.near.pause();
     this.far.pause();
   }
@@ -84,7 +84,7 @@
     from.setNoDelay(true);
     from.on('data', data =>
       perform(() => {
-        if (!this.isSilent) {
+        if (!this.isPausedForever) {
           to.write(data);
         }
       }),
@@ -100,7 +100,7 @@
 
   /** A reset stays a reset: some programs take a plain end for a whole answer. */
   private passEnd(to: net.Socket, wasReset: boolean): void {
-    if (this.isSilent) {
+    if (this.isPausedForever) {
       return;
     }
     if (wasReset && !to.connecting) {
--- a/test/support/backend_slots.ts
+++ b/test/support/restarting_backends.ts
@@ -1,44 +1,49 @@
 /** Backend servers that end under certain requests and start again after a while, each time as another start. */
-import {BackendStandIn} from './backend_stand_in';
+import {FakeBackend} from './fake_backend';
 
-type Handler = Parameters<typeof BackendStandIn.create>[0];
+type Handler = Parameters<typeof FakeBackend.create>[0];
 
 /** How the backend servers behave. */
-interface BackendSlotsOptions {
+interface RestartingBackendsOptions {
   readonly count: number;
   readonly handle: Handler;
   /** True for the body of a request whose run ends its backend server. */
-  readonly endsUnder: (body: string) => boolean;
+  readonly crashesOn: (body: string) => boolean;
   /** From the arrival of such a request to the end. */
-  readonly endsAfterMs: number;
-  readonly backAfterMs: number;
+  readonly crashDelayMs: number;
+  readonly restartDelayMs: number;
 }
 
 interface Slot {
   start: number;
   /** Undefined while nobody listens. */
-  backend: BackendStandIn | undefined;
+  backend: FakeBackend | undefined;
 }
 
 /** Some backend servers, with a record of what reached them. */
-export class BackendSlots {
+export class RestartingBackends {
   /** Bodies of requests in the order in which they reached a backend server. */
-  readonly reached: Array<{readonly at: number; readonly body: string}> = [];
+  readonly receivedRequests: Array<{
+    readonly at: number;
+    readonly body: string;
+  }> = [];
   /** When a backend server ended. */
-  readonly ends: number[] = [];
+  readonly stopTimes: number[] = [];
   private readonly slots: Slot[];
   private readonly timers = new Set<NodeJS.Timeout>();
 
-  private constructor(private readonly options: BackendSlotsOptions) {
+  private constructor(private readonly options: RestartingBackendsOptions) {
     this.slots = Array.from({length: options.count}, () => ({
       start: 0,
       backend: undefined,
     }));
   }
 
-  static async create(options: BackendSlotsOptions): Promise<BackendSlots> {
-    const slots = new BackendSlots(options);
-    await Promise.all(slots.slots.map(slot => slots.begin(slot)));
+  static async create(
+    options: RestartingBackendsOptions,
+  ): Promise<RestartingBackends> {
+    const slots = new RestartingBackends(options);
+    await Promise.all(slots.slots.map(slot => slots.startSlot(slot)));
     return slots;
   }
 
@@ -52,8 +57,8 @@
   }
 
   /** Ends one backend server now. */
-  end(at: number): void {
-    this.endSlot(this.slots[at]);
+  stop(at: number): void {
+    this.stopSlot(this.slots[at]);
   }
 
   close(): void {
@@ -61,16 +66,16 @@
     this.slots.forEach(({backend}) => backend?.close());
   }
 
-  private async begin(slot: Slot): Promise<void> {
+  private async startSlot(slot: Slot): Promise<void> {
     slot.start += 1;
-    slot.backend = await BackendStandIn.create(request => {
+    slot.backend = await FakeBackend.create(request => {
       const {body} = request;
-      this.reached.push({at: performance.now(), body});
-      if (this.options.endsUnder(body)) {
+      this.receivedRequests.push({at: performance.now(), body});
+      if (this.options.crashesOn(body)) {
         const {start} = slot;
-        this.delay(this.options.endsAfterMs, () => {
+        this.delay(this.options.crashDelayMs, () => {
           if (slot.start === start) {
-            this.endSlot(slot);
+            this.stopSlot(slot);
           }
         });
         return;
@@ -79,14 +84,14 @@
     });
   }
 
-  private endSlot(slot: Slot): void {
+  private stopSlot(slot: Slot): void {
     if (!slot.backend) {
       return;
     }
     slot.backend.close();
     slot.backend = undefined;
-    this.ends.push(performance.now());
-    this.delay(this.options.backAfterMs, () => void this.begin(slot));
+    this.stopTimes.push(performance.now());
+    this.delay(this.options.restartDelayMs, () => void this.startSlot(slot));
   }
 
   private delay(ms: number, act: () => void): void {
--- a/test/support/gateway_crowd.ts
+++ b/test/support/run_balancing_simulation.ts
@@ -5,10 +5,10 @@
 import {Clock} from '../../src/common/clock';
 import {LoadBalancer} from '../../src/gateway/load_balancer';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
-import {EnginePasses, PassProfile} from './engine_passes';
+import {BatchingEngine, BatchingProfile} from './batching_engine';
 
 /** Sizes and load of a crowd. */
-interface CrowdOptions {
+interface BalancingOptions {
   readonly gateways: number;
   readonly heads: number;
   readonly zones: number;
@@ -17,28 +17,28 @@
   readonly lengthMs: number;
   /** Between two exchanges of a gateway with control. */
   readonly tellEveryMs: number;
-  readonly profile: PassProfile;
+  readonly profile: BatchingProfile;
   /** First event within this, in milliseconds. */
   readonly objectiveMs: number;
   readonly pauseMs: number;
   readonly promptTokens: number;
   readonly events: number;
   /** When one more engine begins to serve, in milliseconds. */
-  readonly opensAt?: readonly number[];
+  readonly engineStartTimes?: readonly number[];
   /** Uniform in [0, 1), seeded. */
   readonly random: () => number;
 }
 
 /** What callers got. */
-export interface CrowdResult {
+export interface BalancingResult {
   readonly streams: number;
   /** Part of the streams whose first event or some pause came late. */
-  readonly lateStart: number;
-  readonly late: number;
+  readonly lateFirstEventFraction: number;
+  readonly lateFraction: number;
   /** Streams at an engine: standard deviation over engines, averaged over time. */
-  readonly spread: number;
+  readonly loadDeviation: number;
   /** Part of the streams that ran in the gateway's own zone. */
-  readonly near: number;
+  readonly sameZoneFraction: number;
 }
 
 interface Happening {
@@ -60,14 +60,16 @@
  * @example
  * const {late} = playCrowd({gateways: 36, heads: 13, ...});
  */
-export function playCrowd(options: CrowdOptions): CrowdResult {
+export function runBalancingSimulation(
+  options: BalancingOptions,
+): BalancingResult {
   return new Crowd(options).play();
 }
 
 class Crowd {
   private readonly clock = new VirtualClock();
   private readonly agenda: Happening[] = [];
-  private readonly engines = new Map<string, EnginePasses>();
+  private readonly engines = new Map<string, BatchingEngine>();
   private readonly boards: LoadBalancer[];
   private readonly told: Array<Readonly<Record<string, number>>>;
   private readonly targets = new Map<string, GatewayTarget>();
@@ -80,7 +82,7 @@
     looks: 0,
   };
 
-  constructor(private readonly options: CrowdOptions) {
+  constructor(private readonly options: BalancingOptions) {
     const {gateways, heads, zones, random} = options;
     this.boards = Array.from({length: gateways}, (_, at) =>
       LoadBalancer.create(`zone-${at % zones}`, this.clock, random),
@@ -91,8 +93,13 @@
     }
   }
 
-  play(): CrowdResult {
-    const {lengthMs, tellEveryMs, opensAt, random} = this.options;
+  play(): BalancingResult {
+    const {
+      lengthMs,
+      tellEveryMs,
+      engineStartTimes: opensAt,
+      random,
+    } = this.options;
     this.boards.forEach((_, at) => {
       this.plan(random() * tellEveryMs, () => this.exchange(at));
       this.plan(this.drawPause(), () => this.arrive(at));
@@ -104,7 +111,7 @@
       const next = this.agenda[0];
       if (passAt && passAt.at <= next.at) {
         this.clock.time = passAt.at;
-        passAt.engine.endPass();
+        passAt.engine.endBatch();
       } else {
         this.agenda.shift();
         this.clock.time = next.at;
@@ -114,10 +121,10 @@
     const {streams, lateStart, late, near, spread, looks} = this.counts;
     return {
       streams,
-      lateStart: lateStart / streams,
-      late: late / streams,
-      near: near / streams,
-      spread: spread / looks,
+      lateFirstEventFraction: lateStart / streams,
+      lateFraction: late / streams,
+      sameZoneFraction: near / streams,
+      loadDeviation: spread / looks,
     };
   }
 
@@ -134,14 +141,14 @@
       model: 'm',
       epoch: 1,
     });
-    this.engines.set(incarnation, EnginePasses.create(profile));
+    this.engines.set(incarnation, BatchingEngine.create(profile));
     this.boards.forEach(board => board.setTargets(new Map(this.targets)));
   }
 
-  private findNextPass(): {at: number; engine: EnginePasses} | undefined {
-    let best: {at: number; engine: EnginePasses} | undefined;
+  private findNextPass(): {at: number; engine: BatchingEngine} | undefined {
+    let best: {at: number; engine: BatchingEngine} | undefined;
     for (const engine of this.engines.values()) {
-      const at = engine.nextAt;
+      const at = engine.batchEndsAt;
       if (at !== undefined && (!best || at < best.at)) {
         best = {at, engine};
       }
--- a/test/support/scenario_runner.ts
+++ b/test/support/scenario_runner.ts
@@ -42,7 +42,7 @@
   ) {}
 
   /** Starts the fleet, rolls out the bundle, plays every step, ends everything. */
-  static async play(scenario: Scenario): Promise<void> {
+  static async run(scenario: Scenario): Promise<void> {
     const {controls, entries, snapshotEvery, stopWithinMs} = scenario;
     const hosts = Object.entries(scenario.hosts).map(([hostId, host]) => ({
       hostId,
@@ -86,13 +86,13 @@
       const {answer} = await fleet.rollOut(bundle);
       expect(answer.reason).toBe('accepted');
       await fleet.waitForReady();
-      await runner.playSteps();
+      await runner.runSteps();
     } finally {
       await fleet.close();
     }
   }
 
-  private async playSteps(): Promise<void> {
+  private async runSteps(): Promise<void> {
     for (const [at, step] of this.scenario.steps.entries()) {
       const {name, value} = parseStep(step);
       try {
@@ -115,7 +115,7 @@
     },
     start: id => this.start(this.resolve(id)),
     loseDisk: id => {
-      rmSync(this.fleet.dataFolder(this.resolve(id)), {recursive: true});
+      rmSync(this.fleet.getDataFolder(this.resolve(id)), {recursive: true});
     },
     cut: ({from, to, way}) => {
       for (const relay of this.fleet.relays.select(
@@ -125,7 +125,7 @@
         if (way === 'broken') {
           relay.break();
         } else {
-          relay.silence(way === 'both' ? ['forward', 'back'] : [way]);
+          relay.pause(way === 'both' ? ['forward', 'back'] : [way]);
         }
       }
     },
@@ -134,7 +134,7 @@
         this.resolve(from),
         this.resolve(to),
       );
-      relays.forEach(relay => relay.heal());
+      relays.forEach(relay => relay.restore());
     },
     engine: value => this.setEngine(value),
     rollOut: value => this.rollOut(value),
@@ -267,7 +267,7 @@
       headers['whinreel-deadline-ms'] = String(value.deadlineMs);
     }
     const {isSlowReader} = value;
-    const url = `${this.fleet.entryUrl(this.resolve(value.at))}${path}`;
+    const url = `${this.fleet.getEntryUrl(this.resolve(value.at))}${path}`;
     const ask = () => call({url, method: 'POST', headers, body, isSlowReader});
     const isDone = (outcome: string) =>
       value.until ? outcome === value.until : outcome !== 'not-run';
@@ -336,7 +336,9 @@
     const entryId = value.ready ?? value.notReady;
     if (entryId) {
       await waitUntil(what, async () => {
-        const response = await fetch(`${this.fleet.entryUrl(entryId)}/healthz`);
+        const response = await fetch(
+          `${this.fleet.getEntryUrl(entryId)}/healthz`,
+        );
         return (response.status === 200) === (value.ready !== undefined);
       });
     }
--- a/test/support/crash_control.ts
+++ b/test/support/simulated_control.ts
@@ -11,12 +11,12 @@
 /** From the loss of a leader until another one answers. */
 const LEADERLESS_MS = 800;
 
-export class CrashControl {
+export class SimulatedControl {
   /** From the end that decided to the last gateway that knew, by request. */
-  readonly knownAt = new Map<string, number>();
+  readonly fullyKnownAt = new Map<string, number>();
   private readonly table = SuspectTable.create();
   private readonly decidedAt = new Map<string, number>();
-  private readonly knowing = new Map<string, Set<Gateway>>();
+  private readonly informedGateways = new Map<string, Set<Gateway>>();
   private leaderlessUntil = 0;
 
   private constructor(
@@ -29,23 +29,23 @@
     time: VirtualTime,
     options: CrashFleetOptions,
     listGateways: () => readonly Gateway[],
-  ): CrashControl {
-    return new CrashControl(time, options, listGateways);
+  ): SimulatedControl {
+    return new SimulatedControl(time, options, listGateways);
   }
 
   /** How long it took until all knew, in milliseconds. */
-  listKnownAfterMs(): number[] {
-    return [...this.knownAt].map(
+  listPropagationMs(): number[] {
+    return [...this.fullyKnownAt].map(
       ([name, at]) => at - (this.decidedAt.get(name) ?? at),
     );
   }
 
-  loseLeader(): void {
+  stopLeader(): void {
     this.leaderlessUntil = this.time.now() + LEADERLESS_MS;
   }
 
   /** What a gateway hears that has just started. */
-  tell(gateway: Gateway): void {
+  sendSnapshot(gateway: Gateway): void {
     const {random, newsMs} = this.options;
     this.time.after(random() * newsMs, () => {
       gateway.containment.apply(this.table.describeSince(0));
@@ -95,11 +95,11 @@
       }
     }
     if (this.options.without !== 'sharing') {
-      this.tellAll();
+      this.notifyAll();
     }
   }
 
-  private tellAll(): void {
+  private notifyAll(): void {
     const {random, newsMs} = this.options;
     for (const gateway of this.listGateways()) {
       this.time.after(1 + random() * newsMs, () => {
@@ -112,10 +112,10 @@
   private recordKnown(gateway: Gateway): void {
     const count = this.listGateways().length;
     for (const name of this.decidedAt.keys()) {
-      const knowing = this.knowing.get(name) ?? new Set();
-      this.knowing.set(name, knowing.add(gateway));
-      if (knowing.size === count && !this.knownAt.has(name)) {
-        this.knownAt.set(name, this.time.now());
+      const knowing = this.informedGateways.get(name) ?? new Set();
+      this.informedGateways.set(name, knowing.add(gateway));
+      if (knowing.size === count && !this.fullyKnownAt.has(name)) {
+        this.fullyKnownAt.set(name, this.time.now());
       }
     }
   }
--- a/test/support/test_fleet.ts
+++ b/test/support/test_fleet.ts
@@ -11,7 +11,7 @@
 import {TransportSecurity} from '../../src/transport/transport_security';
 import {EngineStandIn} from '../stand_ins/engine_stand_in';
 import {ManagedProcess} from './managed_process';
-import {RelayNet} from './relay_net';
+import {RelayNetwork} from './relay_network';
 import {reservePort} from './reserve_port';
 import {waitUntil} from './wait_until';
 
@@ -53,7 +53,7 @@
   readonly entries = new Map<string, ManagedProcess>();
   readonly hosts = new Map<string, ManagedProcess>();
   readonly engines = new Map<string, EngineStandIn>();
-  readonly relays = RelayNet.create();
+  readonly relays = RelayNetwork.create();
   private readonly controlPorts = new Map<string, number>();
   private lastDigest = '';
   private client: OperatorClient | undefined;
@@ -104,7 +104,7 @@
   }
 
   /** Base address for callers at an entry. */
-  entryUrl(entryId = 'entry-1'): string {
+  getEntryUrl(entryId = 'entry-1'): string {
     return `http://127.0.0.1:${this.findEntry(entryId).ready['port']}`;
   }
 
@@ -171,7 +171,7 @@
   async waitForReady(): Promise<void> {
     for (const entryId of this.entries.keys()) {
       await waitUntil(`${entryId} is ready`, async () => {
-        const response = await fetch(`${this.entryUrl(entryId)}/healthz`);
+        const response = await fetch(`${this.getEntryUrl(entryId)}/healthz`);
         return response.status === 200;
       });
     }
@@ -186,7 +186,7 @@
     const args = [
       ...['--name', name],
       ...['--listen', `127.0.0.1:${this.controlPorts.get(name)}`],
-      ...['--data-folder', this.dataFolder(name)],
+      ...['--data-folder', this.getDataFolder(name)],
       ...['--peers', peers],
       ...['--operator-keys', this.publicKeyFile],
       ...(this.options.controlArgs ?? []),
@@ -235,7 +235,7 @@
     ];
   }
 
-  dataFolder(name: string): string {
+  getDataFolder(name: string): string {
     return path.join(this.folder, name);
   }
 
--- a/test/support/store_loads.ts
+++ b/test/support/weight_store.ts
@@ -6,10 +6,10 @@
 const MS_PER_SECOND = 1_000;
 
 /** Counts the loads under way. */
-export class StoreLoads {
+export class WeightStore {
   /** Loads that began. */
-  count = 0;
-  private underWay: Array<{endsAt: number; isSecondCopy: boolean}> = [];
+  loadCount = 0;
+  private running: Array<{endsAt: number; isSecondCopy: boolean}> = [];
   private tokens = 0;
 
   private constructor(private readonly profile: EngineProfile) {}
@@ -20,8 +20,8 @@
    * @example
    * const loads = StoreLoads.create(profile);
    */
-  static create(profile: EngineProfile): StoreLoads {
-    return new StoreLoads(profile);
+  static create(profile: EngineProfile): WeightStore {
+    return new WeightStore(profile);
   }
 
   /** Lets time pass. */
@@ -29,32 +29,32 @@
     const {loadsPerSecond} = this.profile;
     const added = (loadsPerSecond * passedMs) / MS_PER_SECOND;
     this.tokens = Math.min(loadsPerSecond, this.tokens + added);
-    this.underWay = this.underWay.filter(({endsAt}) => endsAt > now);
+    this.running = this.running.filter(({endsAt}) => endsAt > now);
   }
 
   clear(): void {
-    this.underWay = [];
-    this.count = 0;
+    this.running = [];
+    this.loadCount = 0;
   }
 
   /** How much slower than alone a load runs now. */
-  get slowness(): number {
-    return Math.max(1, this.underWay.length / this.profile.concurrentLoads);
+  get slowdown(): number {
+    return Math.max(1, this.running.length / this.profile.concurrentLoads);
   }
 
   /** Begins a load; false when it must wait. */
-  take(isSecondCopy: boolean, loadMs: number, now: number): boolean {
+  startLoad(isSecondCopy: boolean, loadMs: number, now: number): boolean {
     const {concurrentLoads} = this.profile;
     const isFull = isSecondCopy
-      ? this.underWay.length >= concurrentLoads * SECOND_COPY_SHARE
-      : this.underWay.filter(load => !load.isSecondCopy).length >=
+      ? this.running.length >= concurrentLoads * SECOND_COPY_SHARE
+      : this.running.filter(load => !load.isSecondCopy).length >=
         concurrentLoads;
     if (isFull || this.tokens < 1) {
       return false;
     }
     this.tokens -= 1;
-    this.count += 1;
-    this.underWay.push({endsAt: now + loadMs, isSecondCopy});
+    this.loadCount += 1;
+    this.running.push({endsAt: now + loadMs, isSecondCopy});
     return true;
   }
 }
