--- a/test/support/backend_scripts.ts
+++ b/test/support/backend_scripts.ts
@@ -1,4 +1,4 @@
-/** Backend servers of a few words, and a gateway's flow in front of them. */
+/** Scripted HTTP responses of fake backend servers, and a fixture that proxies requests to them. */
 import {afterEach} from 'vitest';
 import {GatewayRules} from '../../src/protocol/gateway_rules';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
@@ -16,6 +16,7 @@
   }
 });
 
+/** Starts a fake backend server for each handler and a proxy in front of them; both close after the test. */
 export async function startFixture(
   handlers: readonly Handler[],
   route: Partial<Route> = {},
@@ -31,34 +32,39 @@
   return {fixture, backends};
 }
 
+/** Writes this text to the connection, with CRLF line ends. */
 export function writeRaw(text: string): Handler {
   return ({socket}) => socket.write(text.replaceAll('\n', '\r\n'));
 }
 
+/** Sends a complete 200 response. */
 export function sendOk(body: string, headers = ''): Handler {
   return writeRaw(
     `HTTP/1.1 200 OK\nrequest-id: q\nseal: s\ncontent-length: ${body.length}\n${headers}\n${body}`,
   );
 }
 
+/** Resets the connection. */
 export const resetConnection: Handler = ({socket}) => socket.resetAndDestroy();
+/** Sends a 503 response that says that the request was not run. */
 export const refuseNotRun = writeRaw(
   'HTTP/1.1 503 Full\nnot-run: 1\ncontent-length: 0\n\n',
 );
+/** The response head of an event stream. */
 export const STREAM_HEAD =
   'HTTP/1.1 200 OK\nrequest-id: q\nseal: first\ncontent-type: text/event-stream\ntransfer-encoding: chunked\n\n';
 
-/** One chunk of an HTTP body. */
+/** Encodes one chunk of a chunked HTTP body. */
 export function encodeChunk(text: string): string {
   return `${text.length.toString(16)}\r\n${text}\r\n`;
 }
 
-/** Events with these numbers. */
+/** Encodes server-sent events with these ids. */
 export function encodeEvents(...ids: number[]): string {
   return ids.map(id => `id: ${id}\ndata: t${id}\n\n`).join('');
 }
 
-/** A stream from an event on, ended or left hanging. */
+/** Sends events of a stream, which then completes, is reset or stalls. */
 export function sendStream(
   seal: string,
   ids: number[],
@@ -76,8 +82,8 @@
   };
 }
 
-/** A stream under its own request's id, with an event after each pause. */
-export function sendPacedStream(count: number, betweenMs: number): Handler {
+/** Sends a stream that echoes the request id and has one event per interval. */
+export function sendPacedStream(count: number, intervalMs: number): Handler {
   return ({socket, headers}) => {
     const id = headers.get('request-id') ?? '';
     socket.write(
@@ -90,7 +96,7 @@
       setTimeout(() => {
         const last = at === count ? '0\r\n\r\n' : '';
         socket.write(encodeChunk(encodeEvents(at)) + last);
-      }, at * betweenMs);
+      }, at * intervalMs);
     }
   };
 }
--- a/test/support/batching_engine.ts
+++ b/test/support/batching_engine.ts
@@ -1,19 +1,19 @@
 /**
- * One engine on a virtual clock: it reads prompts and writes events in passes, so
- * what comes in the middle of a pass waits for its end, and a prompt that does not
- * fit beside others waits for the next.
+ * One simulated engine with continuous batching on a virtual clock: it reads prompts
+ * and emits events in batches. A request that arrives during a batch waits for the
+ * batch to end, and prompt tokens beyond the batch's budget wait for the next one.
  */
 
-/** How fast it is. */
+/** Speed and capacity of an engine. */
 export interface BatchingProfile {
   readonly slots: number;
   readonly stepMs: number;
   readonly stepMsPerRequest: number;
   readonly tokensPerMs: number;
-  /** Prompt tokens that one step reads at most. */
+  /** Maximum number of prompt tokens per step. */
   readonly chunkTokens: number;
   readonly stepsPerEvent: number;
-  /** Factor on all times. */
+  /** Factor on all durations. */
   readonly pace: number;
 }
 
@@ -21,17 +21,17 @@
 interface Job {
   unreadTokens: number;
   eventsLeft: number;
-  hasBegun: boolean;
+  hasStarted: boolean;
   lastEventAt: number;
   readonly onEvent: (at: number, pauseMs: number) => void;
   readonly onEnd: (at: number) => void;
 }
 
-/** Plays the passes of one engine. */
+/** Simulates the batches of one engine. */
 export class BatchingEngine {
   private readonly queue: Job[] = [];
   private running: Job[] = [];
-  private passEndsAt: number | undefined;
+  private currentBatchEndsAt: number | undefined;
 
   private constructor(private readonly profile: BatchingProfile) {}
 
@@ -39,9 +39,9 @@
     return new BatchingEngine(profile);
   }
 
-  /** When the pass under way ends; undefined while there is nothing to do. */
+  /** When the current batch ends; undefined while the engine is idle. */
   get batchEndsAt(): number | undefined {
-    return this.passEndsAt;
+    return this.currentBatchEndsAt;
   }
 
   get load(): number {
@@ -52,18 +52,18 @@
     now: number,
     work: Pick<Job, 'unreadTokens' | 'eventsLeft' | 'onEvent' | 'onEnd'>,
   ): void {
-    this.queue.push({...work, hasBegun: false, lastEventAt: now});
-    if (this.passEndsAt === undefined) {
-      this.startPass(now);
+    this.queue.push({...work, hasStarted: false, lastEventAt: now});
+    if (this.currentBatchEndsAt === undefined) {
+      this.startBatch(now);
     }
   }
 
-  /** Ends the pass whose time has come. */
+  /** Ends the current batch, and starts the next one if there is work. */
   endBatch(): void {
-    const at = this.passEndsAt ?? 0;
+    const at = this.currentBatchEndsAt ?? 0;
     for (const job of this.running.filter(({unreadTokens}) => !unreadTokens)) {
-      job.onEvent(at, job.hasBegun ? at - job.lastEventAt : 0);
-      job.hasBegun = true;
+      job.onEvent(at, job.hasStarted ? at - job.lastEventAt : 0);
+      job.hasStarted = true;
       job.lastEventAt = at;
       job.eventsLeft -= 1;
       if (job.eventsLeft <= 0) {
@@ -71,18 +71,18 @@
       }
     }
     this.running = this.running.filter(({eventsLeft}) => eventsLeft > 0);
-    this.passEndsAt = undefined;
+    this.currentBatchEndsAt = undefined;
     if (this.load > 0) {
-      this.startPass(at);
+      this.startBatch(at);
     }
   }
 
-  private startPass(now: number): void {
+  private startBatch(now: number): void {
     const {profile} = this;
-    const free = profile.slots - this.running.length;
-    this.running.push(...this.queue.splice(0, free));
-    const writers = this.running.filter(job => job.hasBegun).length;
-    const steps = writers > 0 ? profile.stepsPerEvent : 1;
+    const freeSlots = profile.slots - this.running.length;
+    this.running.push(...this.queue.splice(0, freeSlots));
+    const generating = this.running.filter(job => job.hasStarted).length;
+    const steps = generating > 0 ? profile.stepsPerEvent : 1;
     let budget = profile.chunkTokens * steps;
     let readTokens = 0;
     for (const job of this.running) {
@@ -91,8 +91,8 @@
       budget -= taken;
       readTokens += taken;
     }
-    const stepMs = profile.stepMs + writers * profile.stepMsPerRequest;
+    const stepMs = profile.stepMs + generating * profile.stepMsPerRequest;
     const tookMs = steps * stepMs + readTokens / profile.tokensPerMs;
-    this.passEndsAt = now + tookMs * profile.pace;
+    this.currentBatchEndsAt = now + tookMs * profile.pace;
   }
 }
--- a/test/support/caller.ts
+++ b/test/support/caller.ts
@@ -1,4 +1,4 @@
-/** A caller that keeps what it got: status, headers, text and how the answer ended. */
+/** An HTTP client that reports the status, outcome header and text of a response, and whether it was cut off. */
 import * as http from 'node:http';
 
 /** One request. */
@@ -10,19 +10,19 @@
   readonly isSlowReader?: boolean;
 }
 
-/** What came back. */
+/** The response. */
 export interface CallResult {
   readonly status: number;
   readonly outcome: string;
   readonly text: string;
-  /** The transfer broke off. */
+  /** The connection failed before the end of the response. */
   readonly isBroken: boolean;
 }
 
-/** Sends one request; never rejects. */
+/** Sends one request; never rejects: a failed connection has status 0. */
 export function call(options: CallOptions): Promise<CallResult> {
   return new Promise(resolve => {
-    const broken = {status: 0, outcome: 'connection', text: '', isBroken: true};
+    const failed = {status: 0, outcome: 'connection', text: '', isBroken: true};
     const {method, body} = options;
     const headers = {
       ...options.headers,
@@ -49,7 +49,7 @@
         }
       },
     );
-    request.on('error', () => resolve(broken));
+    request.on('error', () => resolve(failed));
     request.end(body);
   });
 }
--- a/test/support/check_epochs.ts
+++ b/test/support/check_epochs.ts
@@ -1,7 +1,7 @@
 import {expect} from 'vitest';
 import {TestFleet} from './test_fleet';
 
-/** No engine ran for a group under an epoch lower than one it already ran under anywhere. */
+/** Checks that no engine ran for a group under a lower epoch than an earlier run of that group anywhere. */
 export function checkEpochs(fleet: TestFleet): void {
   const runs = [...fleet.engines.values()].flatMap(engine => engine.epochs);
   const highest = new Map<string, number>();
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Gateways, backend servers and callers on a virtual clock, with the real
- * containment, trials and table of suspects. Some requests end every backend server
- * that begins them; some backend servers end by themselves, in waves.
+ * Simulates gateways, backend servers and callers on a virtual clock around the real
+ * crash containment, suspect trials and suspect table. Poison requests crash every
+ * backend server that runs them; other backend servers crash on their own, in waves.
  */
 import {EventRing} from '../../src/common/event_ring';
 import {CrashDetector} from '../../src/gateway/crash_detector';
@@ -11,23 +11,23 @@
 import {VirtualTime} from '../simulation/virtual_time';
 import {SimulatedControl} from './simulated_control';
 import {CrashFleetOptions} from './crash_fleet_options';
-import {Flow, Gateway, Run, Server} from './crash_fleet_parts';
+import {SimulatedRequest, Gateway, Attempt, Backend} from './crash_fleet_parts';
 import {CrashFleetResult} from './crash_fleet_result';
 import {installVirtualTimeouts} from './install_virtual_timeouts';
 
-/** From an arrival at a backend server to its end, or to a first event. */
-const ENDS_AFTER_MS = 60;
+/** Time from a request's arrival at a backend server to the crash, or to the first event. */
+const CRASH_DELAY_MS = 60;
 const FIRST_EVENT_MS = 150;
-const BACK_AFTER_MS = 2_500;
+const RESTART_DELAY_MS = 2_500;
 const CHECK_MS = 20;
 
-const MAX_RUNS = 3;
+const MAX_LOST_ATTEMPTS = 3;
 
 /**
- * Plays one fleet.
+ * Runs one simulation and returns its measurements.
  *
  * @example
- * const {endedByMarked} = await playCrashes(options);
+ * const {crashesByPoisonRequest} = await runCrashFleet(options);
  */
 export async function runCrashFleet(
   options: CrashFleetOptions,
@@ -43,30 +43,30 @@
 
 class CrashFleet {
   private readonly control: SimulatedControl;
-  private readonly servers: Server[];
+  private readonly backends: Backend[];
   private readonly gateways: Gateway[];
-  private readonly ended: number[];
-  private readonly delays: number[] = [];
-  private starts = 0;
-  private healthy = 0;
-  private healthyRefused = 0;
-  private sentAfterKnown = 0;
+  private readonly crashesByRequest: number[];
+  private readonly retryDelaysMs: number[] = [];
+  private startCount = 0;
+  private healthyCount = 0;
+  private healthyRejected = 0;
+  private sentAfterVerdict = 0;
 
   constructor(
     private readonly time: VirtualTime,
     private readonly options: CrashFleetOptions,
   ) {
     this.control = SimulatedControl.create(time, options, () => this.gateways);
-    this.ended = Array.from({length: options.marked}, () => 0);
-    this.servers = Array.from({length: options.servers}, () => ({
-      incarnation: this.nameStart(),
+    this.crashesByRequest = Array.from({length: options.marked}, () => 0);
+    this.backends = Array.from({length: options.servers}, () => ({
+      incarnation: this.createIncarnation(),
       isUp: true,
       running: new Set(),
     }));
     this.gateways = Array.from({length: options.gateways}, () => ({
       containment: this.createContainment(),
       isReady: true,
-      flows: new Set(),
+      requests: new Set(),
     }));
   }
 
@@ -80,24 +80,24 @@
     } = this.options;
     this.repeatEvery(killEveryMs, () => this.killGateway());
     this.repeatEvery(leaderLostEveryMs, () => this.control.stopLeader());
-    this.arrive();
-    this.check();
+    this.scheduleArrival();
+    this.scheduleCheck();
     losses.forEach(({at, count}) =>
-      this.time.after(at, () => this.loseServers(count)),
+      this.time.after(at, () => this.failBackends(count)),
     );
     for (let at = 0; at < marked; at += 1) {
-      this.time.after(1_000 + at * 300, () => this.repeatMarked(at));
+      this.time.after(1_000 + at * 300, () => this.repeatPoisonRequest(at));
     }
     await this.time.runUntil(forMs, () => false);
     this.gateways.forEach(({containment}) => containment.close());
     const knownAfterMs = this.control.listPropagationMs();
     return {
-      crashesByPoisonRequest: this.ended,
-      sentAfterVerdict: this.sentAfterKnown,
+      crashesByPoisonRequest: this.crashesByRequest,
+      sentAfterVerdict: this.sentAfterVerdict,
       propagationMs: knownAfterMs,
-      healthy: this.healthy,
-      healthyRejected: this.healthyRefused,
-      retryDelaysMs: this.delays,
+      healthy: this.healthyCount,
+      healthyRejected: this.healthyRejected,
+      retryDelaysMs: this.retryDelaysMs,
     };
   }
 
@@ -111,21 +111,21 @@
     }
   }
 
-  /** What it saw and did not tell yet is lost, and what it sent runs on without anybody who hears of its end. */
+  /** Restarts a gateway: its unreported observations are lost, and its attempts go on without anybody watching them. */
   private killGateway(): void {
     const {random} = this.options;
     const gateway = this.gateways[Math.floor(random() * this.gateways.length)];
     gateway.containment.close();
-    gateway.flows.forEach(flow => (flow.isForgotten = true));
-    gateway.flows.clear();
+    gateway.requests.forEach(request => (request.isAbandoned = true));
+    gateway.requests.clear();
     gateway.containment = this.createContainment();
     gateway.isReady = false;
     this.control.sendSnapshot(gateway);
   }
 
-  private nameStart(): string {
-    this.starts += 1;
-    return `s${this.starts}`;
+  private createIncarnation(): string {
+    this.startCount += 1;
+    return `s${this.startCount}`;
   }
 
   private createContainment(): CrashContainment {
@@ -140,23 +140,23 @@
     });
   }
 
-  private arrive(): void {
+  private scheduleArrival(): void {
     const {random, perSecond} = this.options;
     this.time.after((-Math.log(1 - random()) * 1_000) / perSecond, () => {
-      this.healthy += 1;
-      this.begin(`healthy ${this.healthy}`, -1);
-      this.arrive();
+      this.healthyCount += 1;
+      this.startRequest(`healthy ${this.healthyCount}`, -1);
+      this.scheduleArrival();
     });
   }
 
-  private repeatMarked(marked: number): void {
-    this.begin(`marked ${marked}`, marked);
+  private repeatPoisonRequest(marked: number): void {
+    this.startRequest(`marked ${marked}`, marked);
     const {random, poisonRetryMs: repeatEveryMs} = this.options;
     const afterMs = repeatEveryMs * (0.5 + random());
-    this.time.after(afterMs, () => this.repeatMarked(marked));
+    this.time.after(afterMs, () => this.repeatPoisonRequest(marked));
   }
 
-  private begin(text: string, marked: number): void {
+  private startRequest(text: string, marked: number): void {
     const {random} = this.options;
     const ready = this.gateways.filter(({isReady}) => isReady);
     const gateway = ready[Math.floor(random() * ready.length)];
@@ -165,50 +165,50 @@
     }
     const identity = RequestIdentity.create({
       request: {host: 'h', method: 'POST', path: '/'},
-      workspace: marked < 0 ? `w${this.healthy % 10}` : 'marked',
+      workspace: marked < 0 ? `w${this.healthyCount % 10}` : 'marked',
       body: Buffer.from(text),
     });
     const {containment} = gateway;
-    const flow: Flow = {
+    const request: SimulatedRequest = {
       gateway,
       identity,
-      isMarked: marked >= 0,
-      marked,
+      isPoison: marked >= 0,
+      poisonIndex: marked,
       trial: SuspectTrial.create({containment, identity, clock: this.time}),
-      tried: new Set(),
-      isForgotten: false,
-      runs: 0,
-      run: undefined,
-      brokeAt: undefined,
+      triedBackends: new Set(),
+      isAbandoned: false,
+      lostAttempts: 0,
+      attempt: undefined,
+      connectionLostAt: undefined,
     };
-    gateway.flows.add(flow);
-    this.sendOn(flow);
+    gateway.requests.add(request);
+    this.sendOrWait(request);
   }
 
-  private check(): void {
+  private scheduleCheck(): void {
     this.time.after(CHECK_MS, () => {
-      this.gateways.forEach(({flows}) =>
-        flows.forEach(flow => this.checkFlow(flow)),
+      this.gateways.forEach(({requests}) =>
+        requests.forEach(request => this.checkRequest(request)),
       );
-      this.check();
+      this.scheduleCheck();
     });
   }
 
-  private checkFlow(flow: Flow): void {
-    const standing = flow.gateway.containment.findStatus(flow.identity);
-    if (standing === 'convicted' && !flow.run?.hasBegun) {
-      this.healthyRefused += flow.isMarked ? 0 : 1;
-      this.finish(flow);
+  private checkRequest(request: SimulatedRequest): void {
+    const status = request.gateway.containment.findStatus(request.identity);
+    if (status === 'convicted' && !request.attempt?.hasResponseStarted) {
+      this.healthyRejected += request.isPoison ? 0 : 1;
+      this.finish(request);
       return;
     }
-    if (!flow.trial.isWaiting) {
+    if (!request.trial.isWaiting) {
       return;
     }
-    const step = flow.trial.check(this.time.now(), true, () => {
-      const server = this.findServer(flow);
+    const step = request.trial.check(this.time.now(), true, () => {
+      const backend = this.chooseBackend(request);
       return (
-        server && {
-          incarnation: server.incarnation,
+        backend && {
+          incarnation: backend.incarnation,
           pool: 'p',
           address: 'a:1',
           zone: 'z',
@@ -217,138 +217,152 @@
       );
     });
     if (step.kind === 'send') {
-      const server = this.servers.find(
+      const backend = this.backends.find(
         ({incarnation}) => incarnation === step.target.incarnation,
       );
-      this.sendTo(flow, server);
+      this.sendTo(request, backend);
     } else if (step.kind === 'free') {
-      this.sendOn(flow);
+      this.sendOrWait(request);
     } else if (step.kind === 'over') {
-      this.finish(flow);
+      this.finish(request);
     }
   }
 
-  private sendOn(flow: Flow): void {
-    const {containment} = flow.gateway;
-    if (containment.findStatus(flow.identity) !== 'free') {
-      flow.trial.beginWaiting(this.time.now());
-      this.checkFlow(flow);
+  private sendOrWait(request: SimulatedRequest): void {
+    const {containment} = request.gateway;
+    if (containment.findStatus(request.identity) !== 'free') {
+      request.trial.beginWaiting(this.time.now());
+      this.checkRequest(request);
       return;
     }
-    this.sendTo(flow, this.findServer(flow));
+    this.sendTo(request, this.chooseBackend(request));
   }
 
-  private findServer({tried}: Flow): Server | undefined {
+  private chooseBackend({
+    triedBackends,
+  }: SimulatedRequest): Backend | undefined {
     const {random} = this.options;
-    const fit = this.servers.filter(
-      ({isUp, incarnation}) => isUp && !tried.has(incarnation),
+    const fit = this.backends.filter(
+      ({isUp, incarnation}) => isUp && !triedBackends.has(incarnation),
     );
     const sorted = fit.sort((one, two) => one.running.size - two.running.size);
     return sorted[Math.floor((random() * sorted.length) / 2)];
   }
 
-  private sendTo(flow: Flow, server: Server | undefined): void {
-    if (!server?.isUp) {
-      this.finish(flow);
+  private sendTo(
+    request: SimulatedRequest,
+    backend: Backend | undefined,
+  ): void {
+    if (!backend?.isUp) {
+      this.finish(request);
       return;
     }
     const now = this.time.now();
-    if (flow.brokeAt !== undefined && !flow.isMarked) {
-      this.delays.push(now - flow.brokeAt);
+    if (request.connectionLostAt !== undefined && !request.isPoison) {
+      this.retryDelaysMs.push(now - request.connectionLostAt);
     }
-    if (flow.isMarked && this.control.fullyKnownAt.has(flow.identity.name)) {
-      this.sentAfterKnown += 1;
+    if (
+      request.isPoison &&
+      this.control.fullyKnownAt.has(request.identity.name)
+    ) {
+      this.sentAfterVerdict += 1;
     }
-    flow.tried.add(server.incarnation);
-    const run = {flow, server, hasBegun: false};
-    flow.run = run;
-    server.running.add(run);
-    if (flow.isMarked) {
-      this.time.after(ENDS_AFTER_MS, () => this.endUnder(run));
+    request.triedBackends.add(backend.incarnation);
+    const attempt = {
+      request,
+      backend,
+      hasResponseStarted: false,
+    };
+    request.attempt = attempt;
+    backend.running.add(attempt);
+    if (request.isPoison) {
+      this.time.after(CRASH_DELAY_MS, () => this.crashBackend(attempt));
       return;
     }
     this.time.after(FIRST_EVENT_MS, () => {
-      if (flow.run === run) {
-        run.hasBegun = true;
-        flow.trial.recordResponseStart();
+      if (request.attempt === attempt) {
+        attempt.hasResponseStarted = true;
+        request.trial.recordResponseStart();
       }
     });
     this.time.after(this.options.streamMs, () => {
-      if (flow.run === run) {
-        server.running.delete(run);
-        flow.trial.recordCompletion();
-        this.finish(flow);
+      if (request.attempt === attempt) {
+        backend.running.delete(attempt);
+        request.trial.recordCompletion();
+        this.finish(request);
       }
     });
   }
 
-  private endUnder(run: Run): void {
-    if (run.flow.run === run) {
-      this.ended[run.flow.marked] += 1;
-      this.endServer(run.server);
+  private crashBackend(attempt: Attempt): void {
+    if (attempt.request.attempt === attempt) {
+      this.crashesByRequest[attempt.request.poisonIndex] += 1;
+      this.endBackend(attempt.backend);
     }
   }
 
-  private loseServers(count: number): void {
+  private failBackends(count: number): void {
     const {random} = this.options;
     for (let at = 0; at < count; at += 1) {
-      const up = this.servers.filter(({isUp}) => isUp);
+      const up = this.backends.filter(({isUp}) => isUp);
       const lost = up[Math.floor(random() * up.length)];
       if (lost) {
-        this.time.after(random() * 100, () => this.endServer(lost));
+        this.time.after(random() * 100, () => this.endBackend(lost));
       }
     }
   }
 
-  private endServer(server: Server): void {
-    if (!server.isUp) {
+  private endBackend(backend: Backend): void {
+    if (!backend.isUp) {
       return;
     }
-    server.isUp = false;
-    const runs = [...server.running];
-    server.running.clear();
-    const {incarnation} = server;
-    runs.forEach(run => void this.handleBreak(run, incarnation));
-    this.time.after(BACK_AFTER_MS, () => {
-      server.incarnation = this.nameStart();
-      server.isUp = true;
+    backend.isUp = false;
+    const runs = [...backend.running];
+    backend.running.clear();
+    const {incarnation} = backend;
+    runs.forEach(
+      attempt => void this.handleConnectionLoss(attempt, incarnation),
+    );
+    this.time.after(RESTART_DELAY_MS, () => {
+      backend.incarnation = this.createIncarnation();
+      backend.isUp = true;
     });
   }
 
-  private async handleBreak(
-    {flow, hasBegun}: Run,
+  private async handleConnectionLoss(
+    {request, hasResponseStarted}: Attempt,
     incarnation: string,
   ): Promise<void> {
-    if (flow.isForgotten) {
+    if (request.isAbandoned) {
       return;
     }
     const now = this.time.now();
-    flow.run = undefined;
-    flow.runs += 1;
-    flow.trial.end();
-    flow.trial.recordConnectionLoss(now);
-    flow.brokeAt = hasBegun ? undefined : now;
+    request.attempt = undefined;
+    request.lostAttempts += 1;
+    request.trial.end();
+    request.trial.recordConnectionLoss(now);
+    request.connectionLostAt = hasResponseStarted ? undefined : now;
     const target = {incarnation, address: 'a:1'};
-    const {name} = flow.identity;
-    const judged = flow.gateway.containment.recordConnectionLoss({
+    const {name} = request.identity;
+    const judged = request.gateway.containment.recordConnectionLoss({
       target,
       name,
-      hasResponseStarted: hasBegun,
+      hasResponseStarted,
     });
-    if (!hasBegun) {
+    if (!hasResponseStarted) {
       await judged;
     }
-    if (flow.runs < MAX_RUNS) {
-      this.sendOn(flow);
+    if (request.lostAttempts < MAX_LOST_ATTEMPTS) {
+      this.sendOrWait(request);
     } else {
-      this.finish(flow);
+      this.finish(request);
     }
   }
 
-  private finish(flow: Flow): void {
-    flow.run?.server.running.delete(flow.run);
-    flow.run = undefined;
-    flow.trial.end();
-    flow.gateway.flows.delete(flow);
+  private finish(request: SimulatedRequest): void {
+    request.attempt?.backend.running.delete(request.attempt);
+    request.attempt = undefined;
+    request.trial.end();
+    request.gateway.requests.delete(request);
   }
 }
--- a/test/support/crash_fleet_options.ts
+++ b/test/support/crash_fleet_options.ts
@@ -1,23 +1,23 @@
-/** Sizes, load and faults. */
+/** Sizes, load and faults of a simulation by `runCrashFleet`. */
 export interface CrashFleetOptions {
   readonly gateways: number;
   readonly servers: number;
-  /** Healthy streams a second at all gateways. */
+  /** Healthy streams per second over all gateways. */
   readonly perSecond: number;
   readonly streamMs: number;
   readonly durationMs: number;
-  /** Different requests that end backend servers, and how often each is repeated by its caller. */
+  /** Distinct poison requests, which crash backend servers, and the average interval at which callers repeat each. */
   readonly marked: number;
   readonly poisonRetryMs: number;
-  /** When backend servers end by themselves, and how many. */
+  /** When backend servers crash on their own, and how many. */
   readonly losses: ReadonlyArray<{readonly at: number; readonly count: number}>;
-  /** Between two kills of a gateway, which forgets everything; none without it. */
+  /** Average interval between restarts of a gateway, which loses all its state; undefined for none. */
   readonly killEveryMs?: number;
-  /** Between two losses of the leader; control answers nothing for a while then. */
+  /** Average interval between leader losses, during which control rejects calls for a while. */
   readonly leaderLostEveryMs?: number;
-  /** The longest way of news from control to a gateway. */
+  /** The longest delay of an update from control to a gateway. */
   readonly newsMs: number;
-  /** Mechanisms that are switched off. */
+  /** The mechanism that is switched off. */
   readonly without?: 'trials' | 'sharing';
   /** Uniform in [0, 1), seeded. */
   readonly random: () => number;
--- a/test/support/crash_fleet_parts.ts
+++ b/test/support/crash_fleet_parts.ts
@@ -1,37 +1,41 @@
-/** What a fleet of `playCrashes` is made of. */
+/** State of the simulated processes and requests of `runCrashFleet`. */
 import {CrashContainment} from '../../src/gateway/crash_containment';
 import {RequestIdentity} from '../../src/gateway/request_identity';
 import {SuspectTrial} from '../../src/gateway/suspect_trial';
 
-export interface Server {
+/** A backend server, which gets a new incarnation with each restart. */
+export interface Backend {
   incarnation: string;
   isUp: boolean;
-  readonly running: Set<Run>;
+  readonly running: Set<Attempt>;
 }
 
+/** A gateway with its real crash containment. */
 export interface Gateway {
   containment: CrashContainment;
-  /** It takes requests once it has rules, and the list of suspects comes with them. */
+  /** It accepts requests once it has rules, with which it receives the suspect list. */
   isReady: boolean;
-  readonly flows: Set<Flow>;
+  readonly requests: Set<SimulatedRequest>;
 }
 
-export interface Run {
-  readonly flow: Flow;
-  readonly server: Server;
-  hasBegun: boolean;
+/** One attempt of a request at a backend server. */
+export interface Attempt {
+  readonly request: SimulatedRequest;
+  readonly backend: Backend;
+  hasResponseStarted: boolean;
 }
 
-export interface Flow {
+/** A request at a gateway. */
+export interface SimulatedRequest {
   readonly gateway: Gateway;
   readonly identity: RequestIdentity;
-  readonly isMarked: boolean;
-  readonly marked: number;
+  readonly isPoison: boolean;
+  readonly poisonIndex: number;
   readonly trial: SuspectTrial;
-  readonly tried: Set<string>;
-  /** Its gateway was killed. */
-  isForgotten: boolean;
-  runs: number;
-  run: Run | undefined;
-  brokeAt: number | undefined;
+  readonly triedBackends: Set<string>;
+  /** Its gateway was restarted. */
+  isAbandoned: boolean;
+  lostAttempts: number;
+  attempt: Attempt | undefined;
+  connectionLostAt: number | undefined;
 }
--- a/test/support/crash_fleet_result.ts
+++ b/test/support/crash_fleet_result.ts
@@ -1,14 +1,14 @@
-/** What came of it. */
+/** Measurements of `runCrashFleet`. */
 export interface CrashFleetResult {
-  /** Backend servers ended by each marked request. */
+  /** Backend servers crashed by each poison request. */
   readonly crashesByPoisonRequest: readonly number[];
-  /** Sendings of a marked request after every gateway knew its verdict. */
+  /** Attempts of poison requests after every gateway knew the verdict. */
   readonly sentAfterVerdict: number;
-  /** From the end that decided to the last gateway that knew, in milliseconds. */
+  /** Time from each verdict until the last gateway knew it, in milliseconds. */
   readonly propagationMs: readonly number[];
   readonly healthy: number;
-  /** Healthy requests that were refused for what ran beside them. */
+  /** Healthy requests that were wrongly convicted because of requests beside them. */
   readonly healthyRejected: number;
-  /** Repeats of healthy requests that had not begun: how long after the break they were sent. */
+  /** Delay between connection loss and retry of healthy requests without a response yet. */
   readonly retryDelaysMs: readonly number[];
 }
--- a/test/support/create_demand.ts
+++ b/test/support/create_demand.ts
@@ -1,11 +1,11 @@
 import {EngineProfile} from '../../src/protocol/engine_profile';
 import {ModelDemand} from '../../src/protocol/model_demand';
 
-const TOKENS_PER_ANSWER = 100;
+const TOKENS_PER_RESPONSE = 100;
 const MS_PER_SECOND = 1_000;
 
 /**
- * The demand that fills so many groups of each model, by writing alone.
+ * Creates the demand that saturates the given number of groups of each model with generated tokens alone.
  *
  * @example
  * const demand = createDemand(profile, new Map([['big', 1.5]]));
@@ -20,7 +20,7 @@
       const msPerToken = pace * (stepMsPerRequest + stepMs / slots);
       const tokens = ((groups.get(name) ?? 0) * MS_PER_SECOND) / msPerToken;
       const demand = {
-        requestsPerSecond: tokens / TOKENS_PER_ANSWER,
+        requestsPerSecond: tokens / TOKENS_PER_RESPONSE,
         promptTokensPerSecond: 0,
         answerTokensPerSecond: tokens,
       };
--- a/test/support/create_random.ts
+++ b/test/support/create_random.ts
@@ -1,10 +1,10 @@
 import {unsafeUniformIntDistribution, xoroshiro128plus} from 'pure-rand';
 
-/** Numbers that are drawn, as many as a random word has. */
+/** The number of values of a 32-bit random word. */
 const RANGE = 2 ** 32;
 
 /**
- * Creates a source of numbers, uniform in [0, 1), that repeats with its seed.
+ * Creates a seeded random number generator, uniform in [0, 1).
  *
  * @example
  * const random = createRandom(7);
--- a/test/support/fake_backend.ts
+++ b/test/support/fake_backend.ts
@@ -1,7 +1,7 @@
-/** A backend server that writes exactly the bytes that a test wants. */
+/** A fake backend server whose responses a test writes byte by byte. */
 import * as net from 'node:net';
 
-/** One request as it arrived. */
+/** A received request with its connection. */
 interface ArrivedRequest {
   readonly head: string;
   readonly body: string;
@@ -11,7 +11,7 @@
 
 type Handler = (request: ArrivedRequest) => void;
 
-/** Listens on loopback; each request is handed to the test. */
+/** Listens on loopback and passes each request to the handler. */
 export class FakeBackend {
   readonly requests: ArrivedRequest[] = [];
   private readonly sockets = new Set<net.Socket>();
@@ -30,7 +30,7 @@
     return backend;
   }
 
-  /** Connections that were made so far and still stand. */
+  /** Number of connections that are open now. */
   get openConnectionCount(): number {
     return this.sockets.size;
   }
--- a/test/support/fleet_event.ts
+++ b/test/support/fleet_event.ts
@@ -1,21 +1,21 @@
-/** Something that happens to the fleet model, in milliseconds of virtual time. */
+/** A scheduled fault or addition in the simulated fleet, in milliseconds of virtual time. */
 export type FleetEvent =
   | {
       readonly at: number;
-      /** A member of some group of the domain is gone for good. */
+      /** Loses a group member in the domain for good. */
       readonly kind: 'lose-member';
       readonly domain: string;
     }
   | {
       readonly at: number;
-      /** Some hosts are silent for a while. */
+      /** Partitions some hosts from control for a while. */
       readonly kind: 'cut';
       readonly hosts: number;
       readonly forMs: number;
     }
   | {
       readonly at: number;
-      /** A host without any weights comes. */
+      /** Adds a host without any weights. */
       readonly kind: 'add-host';
       readonly domain: string;
     };
--- a/test/support/restarting_backends.ts
+++ b/test/support/restarting_backends.ts
@@ -1,4 +1,4 @@
-/** Backend servers that end under certain requests and start again after a while, each time as another start. */
+/** Fake backend servers that crash on certain requests and restart after a delay under a new incarnation. */
 import {FakeBackend} from './fake_backend';
 
 type Handler = Parameters<typeof FakeBackend.create>[0];
@@ -7,27 +7,27 @@
 interface RestartingBackendsOptions {
   readonly count: number;
   readonly handle: Handler;
-  /** True for the body of a request whose run ends its backend server. */
+  /** True for the body of a request that crashes its backend server. */
   readonly crashesOn: (body: string) => boolean;
-  /** From the arrival of such a request to the end. */
+  /** Time from the arrival of such a request to the crash. */
   readonly crashDelayMs: number;
   readonly restartDelayMs: number;
 }
 
 interface Slot {
   start: number;
-  /** Undefined while nobody listens. */
+  /** Undefined while the backend server is down. */
   backend: FakeBackend | undefined;
 }
 
-/** Some backend servers, with a record of what reached them. */
+/** A set of backend servers that records received requests and crashes. */
 export class RestartingBackends {
-  /** Bodies of requests in the order in which they reached a backend server. */
+  /** Bodies of requests in order of arrival at any of the backend servers. */
   readonly receivedRequests: Array<{
     readonly at: number;
     readonly body: string;
   }> = [];
-  /** When a backend server ended. */
+  /** When a backend server crashed or was stopped. */
   readonly stopTimes: number[] = [];
   private readonly slots: Slot[];
   private readonly timers = new Set<NodeJS.Timeout>();
@@ -47,7 +47,7 @@
     return slots;
   }
 
-  /** Starts that live, with their addresses. */
+  /** Lists the running backend servers by their current incarnations. */
   list(): Array<{incarnation: string; address: string}> {
     return this.slots.flatMap(({start, backend}, at) =>
       backend
@@ -56,7 +56,7 @@
     );
   }
 
-  /** Ends one backend server now. */
+  /** Stops one backend server now; it restarts after the delay. */
   stop(at: number): void {
     this.stopSlot(this.slots[at]);
   }
--- a/test/support/run_balancing_simulation.ts
+++ b/test/support/run_balancing_simulation.ts
@@ -1,47 +1,48 @@
 /**
- * Many gateways that place streams on the same engines, each by its own board and
- * by what control tells it of the others, late. Everything runs on a virtual clock.
+ * Simulates many gateways that balance streams over the same engines, each with its own
+ * load balancer and a delayed report of the others' load, on a virtual clock.
  */
 import {Clock} from '../../src/common/clock';
 import {LoadBalancer} from '../../src/gateway/load_balancer';
 import {GatewayTarget} from '../../src/protocol/gateway_target';
 import {BatchingEngine, BatchingProfile} from './batching_engine';
 
-/** Sizes and load of a crowd. */
+/** Sizes and load of a simulation. */
 interface BalancingOptions {
   readonly gateways: number;
   readonly heads: number;
   readonly zones: number;
-  /** Streams a second at all gateways together. */
+  /** Streams per second over all gateways. */
   readonly perSecond: number;
   readonly lengthMs: number;
-  /** Between two exchanges of a gateway with control. */
+  /** Interval between two load reports of a gateway. */
   readonly tellEveryMs: number;
   readonly profile: BatchingProfile;
-  /** First event within this, in milliseconds. */
+  /** A first event after this time, in milliseconds, is late. */
   readonly objectiveMs: number;
   readonly pauseMs: number;
   readonly promptTokens: number;
   readonly events: number;
-  /** When one more engine begins to serve, in milliseconds. */
+  /** When further engines start to serve, in milliseconds. */
   readonly engineStartTimes?: readonly number[];
   /** Uniform in [0, 1), seeded. */
   readonly random: () => number;
 }
 
-/** What callers got. */
+/** What callers experienced, and how the load was spread. */
 export interface BalancingResult {
   readonly streams: number;
-  /** Part of the streams whose first event or some pause came late. */
+  /** Fraction of the streams whose first event was late. */
   readonly lateFirstEventFraction: number;
+  /** Fraction of the streams whose first event was late or that had a pause that was too long. */
   readonly lateFraction: number;
-  /** Streams at an engine: standard deviation over engines, averaged over time. */
+  /** Standard deviation of the streams per engine over the engines, averaged over time. */
   readonly loadDeviation: number;
-  /** Part of the streams that ran in the gateway's own zone. */
+  /** Fraction of the streams that ran in the availability zone of their gateway. */
   readonly sameZoneFraction: number;
 }
 
-interface Happening {
+interface ScheduledEvent {
   readonly at: number;
   readonly act: () => void;
 }
@@ -55,23 +56,23 @@
 }
 
 /**
- * Plays a crowd.
+ * Runs one simulation.
  *
  * @example
- * const {late} = playCrowd({gateways: 36, heads: 13, ...});
+ * const {lateFraction} = runBalancingSimulation({gateways: 36, heads: 13, ...});
  */
 export function runBalancingSimulation(
   options: BalancingOptions,
 ): BalancingResult {
-  return new Crowd(options).play();
+  return new Simulation(options).run();
 }
 
-class Crowd {
+class Simulation {
   private readonly clock = new VirtualClock();
-  private readonly agenda: Happening[] = [];
+  private readonly schedule: ScheduledEvent[] = [];
   private readonly engines = new Map<string, BatchingEngine>();
-  private readonly boards: LoadBalancer[];
-  private readonly told: Array<Readonly<Record<string, number>>>;
+  private readonly balancers: LoadBalancer[];
+  private readonly reportedLoads: Array<Readonly<Record<string, number>>>;
   private readonly targets = new Map<string, GatewayTarget>();
   private readonly counts = {
     streams: 0,
@@ -79,56 +80,56 @@
     late: 0,
     near: 0,
     spread: 0,
-    looks: 0,
+    samples: 0,
   };
 
   constructor(private readonly options: BalancingOptions) {
     const {gateways, heads, zones, random} = options;
-    this.boards = Array.from({length: gateways}, (_, at) =>
+    this.balancers = Array.from({length: gateways}, (_, at) =>
       LoadBalancer.create(`zone-${at % zones}`, this.clock, random),
     );
-    this.told = this.boards.map(() => ({}));
+    this.reportedLoads = this.balancers.map(() => ({}));
     for (let at = 0; at < heads; at += 1) {
-      this.open();
+      this.addEngine();
     }
   }
 
-  play(): BalancingResult {
+  run(): BalancingResult {
     const {
       lengthMs,
       tellEveryMs,
       engineStartTimes: opensAt,
       random,
     } = this.options;
-    this.boards.forEach((_, at) => {
-      this.plan(random() * tellEveryMs, () => this.exchange(at));
-      this.plan(this.drawPause(), () => this.arrive(at));
+    this.balancers.forEach((_, at) => {
+      this.scheduleAt(random() * tellEveryMs, () => this.exchange(at));
+      this.scheduleAt(this.drawArrivalGap(), () => this.arrive(at));
     });
-    this.plan(1_000, () => this.look());
-    (opensAt ?? []).forEach(at => this.plan(at, () => this.open()));
+    this.scheduleAt(1_000, () => this.recordLoad());
+    (opensAt ?? []).forEach(at => this.scheduleAt(at, () => this.addEngine()));
     while (this.clock.time < lengthMs) {
-      const passAt = this.findNextPass();
-      const next = this.agenda[0];
-      if (passAt && passAt.at <= next.at) {
-        this.clock.time = passAt.at;
-        passAt.engine.endBatch();
+      const batchEnd = this.findNextBatchEnd();
+      const next = this.schedule[0];
+      if (batchEnd && batchEnd.at <= next.at) {
+        this.clock.time = batchEnd.at;
+        batchEnd.engine.endBatch();
       } else {
-        this.agenda.shift();
+        this.schedule.shift();
         this.clock.time = next.at;
         next.act();
       }
     }
-    const {streams, lateStart, late, near, spread, looks} = this.counts;
+    const {streams, lateStart, late, near, spread, samples} = this.counts;
     return {
       streams,
       lateFirstEventFraction: lateStart / streams,
       lateFraction: late / streams,
       sameZoneFraction: near / streams,
-      loadDeviation: spread / looks,
+      loadDeviation: spread / samples,
     };
   }
 
-  private open(): void {
+  private addEngine(): void {
     const {zones, profile} = this.options;
     const at = this.targets.size;
     const incarnation = `head-${at}`;
@@ -142,10 +143,12 @@
       epoch: 1,
     });
     this.engines.set(incarnation, BatchingEngine.create(profile));
-    this.boards.forEach(board => board.setTargets(new Map(this.targets)));
+    this.balancers.forEach(balancer =>
+      balancer.setTargets(new Map(this.targets)),
+    );
   }
 
-  private findNextPass(): {at: number; engine: BatchingEngine} | undefined {
+  private findNextBatchEnd(): {at: number; engine: BatchingEngine} | undefined {
     let best: {at: number; engine: BatchingEngine} | undefined;
     for (const engine of this.engines.values()) {
       const at = engine.batchEndsAt;
@@ -156,17 +159,20 @@
     return best;
   }
 
-  private plan(at: number, act: () => void): void {
-    const index = this.agenda.findIndex(other => other.at > at);
-    this.agenda.splice(index < 0 ? this.agenda.length : index, 0, {at, act});
+  private scheduleAt(at: number, act: () => void): void {
+    const index = this.schedule.findIndex(other => other.at > at);
+    this.schedule.splice(index < 0 ? this.schedule.length : index, 0, {
+      at,
+      act,
+    });
   }
 
-  private drawPause(): number {
+  private drawArrivalGap(): number {
     const {gateways, perSecond, random} = this.options;
     return (-Math.log(1 - random()) * gateways * 1_000) / perSecond;
   }
 
-  /** A sum of two draws: most are near the mean, some are several times as large. */
+  /** Draws from a gamma distribution of shape 2: most values are near the mean, some are several times as large. */
   private drawSize(mean: number): number {
     const {random} = this.options;
     const draw = -Math.log(1 - random()) - Math.log(1 - random());
@@ -174,37 +180,39 @@
   }
 
   private exchange(at: number): void {
-    const board = this.boards[at];
+    const balancer = this.balancers[at];
     const sums: Record<string, number> = {};
-    this.told[at] = board.describeHealth().running;
-    this.told.forEach((running, other) => {
+    this.reportedLoads[at] = balancer.describeHealth().running;
+    this.reportedLoads.forEach((running, other) => {
       for (const [incarnation, count] of Object.entries(running)) {
         if (other !== at) {
           sums[incarnation] = (sums[incarnation] ?? 0) + count;
         }
       }
     });
-    board.setRunningElsewhere(sums, this.boards.length - 1);
-    this.plan(this.clock.time + this.options.tellEveryMs, () =>
+    balancer.setRunningElsewhere(sums, this.balancers.length - 1);
+    this.scheduleAt(this.clock.time + this.options.tellEveryMs, () =>
       this.exchange(at),
     );
   }
 
-  private look(): void {
+  private recordLoad(): void {
     const loads = [...this.engines.values()].map(engine => engine.load);
     const mean = loads.reduce((sum, load) => sum + load, 0) / loads.length;
     const square = loads.reduce((sum, load) => sum + (load - mean) ** 2, 0);
     this.counts.spread += Math.sqrt(square / loads.length);
-    this.counts.looks += 1;
-    this.plan(this.clock.time + 50, () => this.look());
+    this.counts.samples += 1;
+    this.scheduleAt(this.clock.time + 50, () => this.recordLoad());
   }
 
   private arrive(at: number): void {
-    this.plan(this.clock.time + this.drawPause(), () => this.arrive(at));
-    const board = this.boards[at];
+    this.scheduleAt(this.clock.time + this.drawArrivalGap(), () =>
+      this.arrive(at),
+    );
+    const balancer = this.balancers[at];
     const promptTokens = this.drawSize(this.options.promptTokens);
     const want = {pool: 'p', model: 'm', excluded: new Set<string>()};
-    const target = board.choose({...want, mayQueue: true});
+    const target = balancer.choose({...want, mayQueue: true});
     if (!target) {
       throw new Error('no engine was chosen');
     }
@@ -215,22 +223,22 @@
     const {incarnation} = target;
     this.counts.streams += 1;
     this.counts.near += target.zone === `zone-${at % zones}` ? 1 : 0;
-    board.recordRequestStart(incarnation, promptTokens);
+    balancer.recordRequestStart(incarnation, promptTokens);
     this.engines.get(incarnation)?.add(sentAt, {
       unreadTokens: promptTokens,
       eventsLeft: this.drawSize(events),
       onEvent: (now, pause) => {
-        board.recordActivity(incarnation);
+        balancer.recordActivity(incarnation);
         if (isFirst) {
           isFirst = false;
-          board.recordResponseStart(incarnation, promptTokens);
+          balancer.recordResponseStart(incarnation, promptTokens);
           isLate = now - sentAt > objectiveMs;
           this.counts.lateStart += isLate ? 1 : 0;
         }
         isLate ||= pause > pauseMs;
       },
       onEnd: () => {
-        board.recordRequestEnd(incarnation);
+        balancer.recordRequestEnd(incarnation);
         this.counts.late += isLate ? 1 : 0;
       },
     });
--- a/test/support/simulated_control.ts
+++ b/test/support/simulated_control.ts
@@ -1,4 +1,4 @@
-/** Control, as far as gateways of `playCrashes` ask it: the real table, news that take their time, and moments without a leader. */
+/** The part of control that gateways of `runCrashFleet` call: the real suspect table, with delayed updates and times without a leader. */
 import {SuspectTable} from '../../src/state/suspect_table';
 import {CrashContainment} from '../../src/gateway/crash_containment';
 import {VirtualTime} from '../simulation/virtual_time';
@@ -7,12 +7,12 @@
 
 type Calls = Parameters<typeof CrashContainment.create>[0]['calls'];
 
-const CONTROL_MS = 6;
-/** From the loss of a leader until another one answers. */
+const CALL_DELAY_MS = 6;
+/** Time from the loss of a leader until another one answers. */
 const LEADERLESS_MS = 800;
 
 export class SimulatedControl {
-  /** From the end that decided to the last gateway that knew, by request. */
+  /** When the last gateway learned of a verdict, by request name. */
   readonly fullyKnownAt = new Map<string, number>();
   private readonly table = SuspectTable.create();
   private readonly decidedAt = new Map<string, number>();
@@ -33,7 +33,7 @@
     return new SimulatedControl(time, options, listGateways);
   }
 
-  /** How long it took until all knew, in milliseconds. */
+  /** Time from each verdict until every gateway knew it, in milliseconds. */
   listPropagationMs(): number[] {
     return [...this.fullyKnownAt].map(
       ([name, at]) => at - (this.decidedAt.get(name) ?? at),
@@ -44,7 +44,7 @@
     this.leaderlessUntil = this.time.now() + LEADERLESS_MS;
   }
 
-  /** What a gateway hears that has just started. */
+  /** Sends the whole suspect table to a gateway that has just started. */
   sendSnapshot(gateway: Gateway): void {
     const {random, newsMs} = this.options;
     this.time.after(random() * newsMs, () => {
@@ -75,10 +75,10 @@
     };
   }
 
-  /** Answers if there is a leader when the question comes. */
+  /** Answers a call if there is a leader when it arrives; rejects it otherwise. */
   private answer<T>(act: () => T): Promise<T> {
     return new Promise((resolve, reject) =>
-      this.time.after(CONTROL_MS, () => {
+      this.time.after(CALL_DELAY_MS, () => {
         if (this.time.now() < this.leaderlessUntil) {
           reject(new Error('no leader'));
         } else {
