--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -1,8 +1,8 @@
 /**
- * A fleet of engines on a virtual clock, planned by the real planner: hosts that
- * are lost, cut off and added, groups that are joined, opened and taken apart,
- * weights that are loaded side by side. It tells what part of the demand the open
- * groups could have served, without any real time or process.
+ * Simulates a fleet of engines on a virtual clock, with the real planner: hosts are
+ * lost, partitioned and added, groups are formed and dissolved, and weights are loaded
+ * concurrently. It measures the fraction of the demand that the open groups could have
+ * served, without any real time or process.
  */
 import {countByDomain} from '../../src/coordination/groups/count_by_domain';
 import {computeDesiredGroups} from '../../src/coordination/groups/compute_desired_groups';
@@ -24,18 +24,18 @@
 const SILENT_AFTER_MS = 3_600;
 const REBALANCE_EVERY_MS = 2_500;
 const PRESSED_MS = 2_000;
-/** From a host's silence until the leader takes it for lost. */
+/** Time from a host's last report until the leader considers it lost. */
 const DETECT_MS = 450;
-/** How long a head that lost a member stands still, and the margin of control. */
-const LET_GO_MS = 5_500;
-/** A group over several domains runs slower by this factor. */
-const FAR_FACTOR = 3;
+/** Time until a head that lost a member has surely stopped, including the safety margin of control. */
+const HEAD_STOP_MS = 5_500;
+/** Slowdown of a group that spans several domains. */
+const CROSS_DOMAIN_SLOWDOWN = 3;
 const WINDOW_MS = 2_000;
-const SETTLING_STEPS = 100;
+const WARMUP_STEPS = 100;
 
 type Order = Extract<EngineAction, {type: 'order'}>;
 
-/** Plays one fleet. */
+/** Simulates one fleet. */
 export class EngineFleet {
   private now = 0;
   private epoch = 1;
@@ -44,32 +44,32 @@
   private readonly releasedAt = new Map<number, number>();
   private readonly returnsAt = new Map<string, number>();
   private readonly pressedAt = new Map<string, number>();
-  private readonly loads: WeightStore;
+  private readonly store: WeightStore;
   private rebalancedAt = -Infinity;
-  private readonly follower = ShareAdjuster.create();
-  private readonly covered: Array<ReadonlyMap<string, number>> = [];
+  private readonly adjuster = ShareAdjuster.create();
+  private readonly coverage: Array<ReadonlyMap<string, number>> = [];
   private readonly hostSeconds = new Map<string, number>();
   private readonly log: string[] = [];
 
   private constructor(private readonly options: EngineFleetOptions) {
-    this.loads = WeightStore.create(options.profile);
+    this.store = WeightStore.create(options.profile);
   }
 
   /**
-   * Plays the events and tells what was covered.
+   * Simulates the events and returns the coverage of the demand.
    *
    * @example
    * const {covered} = EngineFleet.play({profile, domains: {d: 11}, demand: {big: 1.8}, events, lengthMs, random});
    */
   static run(options: EngineFleetOptions): EngineFleetResult {
     const fleet = new EngineFleet(options);
-    fleet.settle();
+    fleet.prepare();
     fleet.processEvents();
     return fleet.describe();
   }
 
-  /** A quiet start: the first groups are open, and every host has each model at hand. */
-  private settle(): void {
+  /** Plans without faults until the first groups are open, then gives every host a copy of each model. */
+  private prepare(): void {
     const {domains, profile} = this.options;
     const [first, ...others] = profile.models.map(({name}) => name);
     for (const [domain, count] of Object.entries(domains)) {
@@ -79,8 +79,8 @@
         host.stagedModels = others.slice(-profile.keptModels);
       }
     }
-    for (let step = 0; step < SETTLING_STEPS; step += 1) {
-      this.now = (step - SETTLING_STEPS) * PLAN_EVERY_MS;
+    for (let step = 0; step < WARMUP_STEPS; step += 1) {
+      this.now = (step - WARMUP_STEPS) * PLAN_EVERY_MS;
       this.advance();
       this.plan();
     }
@@ -89,7 +89,7 @@
         name => name !== host.loadedModel,
       );
     }
-    this.loads.clear();
+    this.store.clear();
     this.log.length = 0;
   }
 
@@ -103,7 +103,7 @@
       this.advance();
       this.plan();
       this.recordStates();
-      this.covered.push(this.measure());
+      this.coverage.push(this.measure());
     }
   }
 
@@ -142,7 +142,7 @@
   }
 
   private advance(): void {
-    this.loads.advance(this.now, PLAN_EVERY_MS);
+    this.store.advance(this.now, PLAN_EVERY_MS);
     for (const host of this.hosts.values()) {
       if ((this.returnsAt.get(host.id) ?? Infinity) <= this.now) {
         this.returnsAt.delete(host.id);
@@ -166,7 +166,7 @@
     const domains = countByDomain(well);
     const {profile} = this.options;
     const actions = planEngineGroups(
-      this.followDemand(domains, {
+      this.createPlanInput(domains, {
         pool: 'p',
         profile,
         groups: this.groups,
@@ -183,7 +183,7 @@
         isRetired: () => false,
         isLost: id => this.isLost(id),
         isLetGo: ({epoch}) =>
-          now - (this.releasedAt.get(epoch) ?? Infinity) > LET_GO_MS,
+          now - (this.releasedAt.get(epoch) ?? Infinity) > HEAD_STOP_MS,
         hasLeaver: group =>
           group.members
             .slice(1)
@@ -197,10 +197,10 @@
     if (actions.some(action => 'isMove' in action && action.isMove)) {
       this.rebalancedAt = now;
     }
-    actions.forEach(action => this.carryOut(action));
+    actions.forEach(action => this.apply(action));
   }
 
-  private followDemand(
+  private createPlanInput(
     domains: readonly number[],
     configured: Omit<EnginePlanInput, 'usual'>,
   ): EnginePlanInput {
@@ -209,13 +209,13 @@
     if (!followsDemand || this.now < 0) {
       return {...configured, usual: computeDesiredGroups(profile, domains)};
     }
-    const {follower} = this;
+    const {adjuster} = this;
     const demand = createDemand(
       profile,
       computeGroupDemand(this.options, this.now),
     );
     return createEnginePlanInput({
-      adjuster: follower,
+      adjuster,
       input: configured,
       domains,
       demand,
@@ -227,9 +227,9 @@
     return since !== undefined && this.now - since > DETECT_MS;
   }
 
-  private carryOut(action: EngineAction): void {
+  private apply(action: EngineAction): void {
     if (action.type === 'order') {
-      this.giveOrder(action);
+      this.applyOrder(action);
       return;
     }
     if (action.type === 'set-group') {
@@ -256,7 +256,7 @@
     );
   }
 
-  private giveOrder(order: Order): void {
+  private applyOrder(order: Order): void {
     const {kind, incarnation, group, isParking} = order;
     const host = this.hosts.get(incarnation);
     const model = this.options.profile.models.find(
@@ -272,11 +272,11 @@
       if (isDone || host.isBusy(kind) || !this.canLoad(order, model.loadMs)) {
         return;
       }
-      const {slowdown: slowness} = this.loads;
+      const {slowdown} = this.store;
       if (kind === 'stage') {
-        host.stage(model, this.now, slowness);
+        host.stage(model, this.now, slowdown);
       } else if (group) {
-        host.join(group, model, this.now, slowness);
+        host.join(group, model, this.now, slowdown);
       }
     } else if (isInGroup) {
       const handlers = {
@@ -289,7 +289,7 @@
   }
 
   private canLoad({isLoad, kind}: Order, loadMs: number): boolean {
-    return !isLoad || this.loads.startLoad(kind === 'stage', loadMs, this.now);
+    return !isLoad || this.store.startLoad(kind === 'stage', loadMs, this.now);
   }
 
   private findGroup(host: EngineHost): EngineGroup | undefined {
@@ -298,7 +298,7 @@
     );
   }
 
-  /** The part of each model's demand that its open, whole groups can serve now. */
+  /** Computes the fraction of each model's demand that its open groups without a silent member can serve now. */
   private measure(): Map<string, number> {
     const {profile} = this.options;
     const demand = computeGroupDemand(this.options, this.now);
@@ -323,8 +323,10 @@
     const [head] = hosts;
     const isOpen = head.isMemberOf(group) && head.group?.state === 'open';
     const isWhole = hosts.every(host => host.silentSince === undefined);
-    const isFar = new Set(hosts.map(host => host.domain)).size > 1;
-    return isOpen && isWhole ? 1 / (isFar ? FAR_FACTOR : 1) : 0;
+    const isCrossDomain = new Set(hosts.map(host => host.domain)).size > 1;
+    return isOpen && isWhole
+      ? 1 / (isCrossDomain ? CROSS_DOMAIN_SLOWDOWN : 1)
+      : 0;
   }
 
   private recordStates(): void {
@@ -355,10 +357,10 @@
     const byModel = Object.fromEntries(
       names.map(name => [
         name,
-        average(this.covered.map(parts => parts.get(name) ?? 0)),
+        average(this.coverage.map(parts => parts.get(name) ?? 0)),
       ]),
     );
-    const means = this.covered.map(parts => average([...parts.values()]));
+    const means = this.coverage.map(parts => average([...parts.values()]));
     const steps = WINDOW_MS / PLAN_EVERY_MS;
     const windows = means
       .flatMap((_, at) =>
@@ -369,7 +371,7 @@
       covered: average(means),
       worst: average(windows.slice(0, 2)),
       byModel,
-      loads: this.loads.loadCount,
+      loads: this.store.loadCount,
       hostSeconds: Object.fromEntries(this.hostSeconds),
       log: this.log,
     };
--- a/test/support/engine_fleet_options.ts
+++ b/test/support/engine_fleet_options.ts
@@ -2,20 +2,20 @@
 import {EngineProfile} from '../../src/protocol/engine_profile';
 import {FleetEvent} from './fleet_event';
 
-/** What a fleet of `EngineFleet` is and what happens to it. */
+/** Configuration, demand and events of an `EngineFleet` simulation. */
 export interface EngineFleetOptions {
   readonly profile: EngineProfile;
   /** Hosts of each domain at the start. */
   readonly domains: Readonly<Record<string, number>>;
-  /** Groups of each model that the whole demand takes; a fraction is a group that is not full. */
+  /** The demand for each model, in fully loaded groups; it may be fractional. */
   readonly demand: Readonly<Record<string, number>>;
-  /** While callers are more than usual: by what factor, by model. */
+  /** A period of higher demand, with the factor for each model. */
   readonly burst?: {
     readonly fromMs: number;
     readonly untilMs: number;
     readonly factors: Readonly<Record<string, number>>;
   };
-  /** The split of the hosts follows the demand; it does by default. */
+  /** Whether the split of the hosts adapts to the demand; true by default. */
   readonly followsDemand?: boolean;
   readonly events: readonly FleetEvent[];
   readonly lengthMs: number;
--- a/test/support/engine_fleet_result.ts
+++ b/test/support/engine_fleet_result.ts
@@ -1,13 +1,13 @@
-/** What part of the demand was covered, and how the hosts spent their time. */
+/** The coverage of the demand and the use of the hosts. */
 export interface EngineFleetResult {
-  /** Mean over models and time, 0 to 1. */
+  /** Fraction of the demand served, averaged over models and time. */
   readonly covered: number;
-  /** The same of the two worst windows. */
+  /** The same fraction in the two worst windows. */
   readonly worst: number;
   readonly byModel: Readonly<Record<string, number>>;
   readonly loads: number;
-  /** Seconds that hosts spent in each state, summed. */
+  /** Seconds that hosts spent in each state, summed over hosts. */
   readonly hostSeconds: Readonly<Record<string, number>>;
-  /** Groups formed and ended, as the planner gave them. */
+  /** The planner's changes of groups. */
   readonly log: readonly string[];
 }
--- a/test/support/engine_host.ts
+++ b/test/support/engine_host.ts
@@ -1,4 +1,4 @@
-/** One host of the fleet model, by the rules that engines keep. */
+/** One simulated engine host, with the state machine of a real engine. */
 import {BackendView} from '../../src/coordination/groups/backend_view';
 import {computeReadyMs} from '../../src/coordination/groups/compute_ready_ms';
 import {BackendRegistration} from '../../src/protocol/backend_registration';
@@ -7,21 +7,21 @@
 
 type Model = EngineProfile['models'][number];
 
-/** Work that takes time: a join, or a load to the host's own copy. */
+/** Work in progress: joining a group, or staging a copy of the weights on the host. */
 interface Work {
   readonly model: string;
   readonly doneAt: number;
 }
 
-/** Takes orders and tells its state; time is passed in, in milliseconds. */
+/** Executes orders and reports its state; the caller passes the time, in milliseconds. */
 export class EngineHost {
   /** The model in memory. */
   loadedModel: string | undefined;
-  /** Models of which the host has a copy, the newest last. */
+  /** Models with a local copy of the weights, the newest last. */
   stagedModels: string[] = [];
   group: BackendRegistration['group'];
   silentSince: number | undefined;
-  /** It never comes back. */
+  /** The host is lost for good. */
   isLost = false;
   private seenAt = 0;
   private joining: Work | undefined;
@@ -48,12 +48,12 @@
     return new EngineHost(id, domain, profile);
   }
 
-  /** The model that it is reading from the store or its own copy. */
+  /** The model that the host is loading from the store or its local copy. */
   get loading(): string | undefined {
     return this.staging?.model ?? this.joining?.model;
   }
 
-  /** Lets time pass. */
+  /** Advances to this time and finishes work that is due. */
   advance(now: number): void {
     if (this.silentSince === undefined) {
       this.seenAt = now;
@@ -63,8 +63,8 @@
       this.joining = undefined;
       this.loadedModel = joining.model;
       this.group = {...this.group, state: 'ready'};
-      // Whatever it joins becomes its newest copy, also what it had in memory.
-      this.keepCopy(joining.model);
+      // The joined model becomes the newest local copy, even if it was in memory before.
+      this.addCopy(joining.model);
     }
     if (this.opensAt <= now && this.group) {
       this.opensAt = Infinity;
@@ -72,11 +72,11 @@
     }
     if (staging && staging.doneAt <= now) {
       this.staging = undefined;
-      this.keepCopy(staging.model);
+      this.addCopy(staging.model);
     }
   }
 
-  /** True while it cannot take a join or a load of that kind. */
+  /** True while work of this kind is in progress. */
   isBusy(kind: 'join' | 'stage'): boolean {
     return (kind === 'join' ? this.joining : this.staging) !== undefined;
   }
@@ -85,22 +85,22 @@
     return this.group?.name === name && this.group.epoch === epoch;
   }
 
-  /** Joins a group; `slowness` is over 1 while many load at once. */
-  join(group: EngineGroup, model: Model, now: number, slowness: number): void {
-    const tookMs = computeReadyMs(this.createView(), model) * slowness;
+  /** Joins a group; `slowdown` is above 1 while too many hosts load at once. */
+  join(group: EngineGroup, model: Model, now: number, slowdown: number): void {
+    const durationMs = computeReadyMs(this.createView(), model) * slowdown;
     const rank = group.members.findIndex(
       ({incarnation}) => incarnation === this.id,
     );
     const {name, epoch} = group;
     this.loadedModel =
       this.loadedModel === model.name ? this.loadedModel : undefined;
-    this.joining = {model: model.name, doneAt: now + tookMs};
+    this.joining = {model: model.name, doneAt: now + durationMs};
     this.opensAt = Infinity;
     this.group = {name, epoch, rank, state: 'joining'};
   }
 
-  stage(model: Model, now: number, slowness: number): void {
-    const doneAt = now + model.loadMs * slowness;
+  stage(model: Model, now: number, slowdown: number): void {
+    const doneAt = now + model.loadMs * slowdown;
     this.staging = {model: model.name, doneAt};
   }
 
@@ -118,7 +118,7 @@
     this.group = undefined;
   }
 
-  /** What control has heard of it. */
+  /** Creates the view that control has of this host. */
   createView(): BackendView {
     const registration: BackendRegistration = {
       incarnation: this.id,
@@ -133,11 +133,11 @@
       model: this.loadedModel,
       group: this.group,
     };
-    const {seenAt, loadedModel: heldModel} = this;
-    return {registration, seenAt, firstSeenAt: 0, loadedModel: heldModel};
+    const {seenAt, loadedModel: loadedModel} = this;
+    return {registration, seenAt, firstSeenAt: 0, loadedModel: loadedModel};
   }
 
-  private keepCopy(model: string): void {
+  private addCopy(model: string): void {
     const others = this.stagedModels.filter(name => name !== model);
     this.stagedModels = [...others, model].slice(-this.profile.keptModels);
   }
--- a/test/support/engine_plan.ts
+++ b/test/support/engine_plan.ts
@@ -1,4 +1,4 @@
-/** Hosts, groups and plans of engines with few words. */
+/** Builders for engine hosts, groups and plans in tests of the planner. */
 import {BackendView} from '../../src/coordination/groups/backend_view';
 import {EngineAction} from '../../src/coordination/groups/engine_action';
 import {EnginePlanInput} from '../../src/coordination/groups/engine_plan_input';
@@ -7,10 +7,12 @@
 import {EngineGroup} from '../../src/protocol/engine_group';
 import {EngineProfile} from '../../src/protocol/engine_profile';
 
+/** The time of every plan, in milliseconds. */
 export const NOW = 100_000;
+/** A host's report of its group. */
 export type GroupReport = NonNullable<BackendRegistration['group']>;
 
-/** A large model on four hosts and a small one on two. */
+/** A large model on four hosts per group and a small one on two. */
 export const PROFILE: EngineProfile = {
   models: [
     {name: 'big', size: 4, pace: 1, share: 0.67, loadMs: 16_000, warmMs: 1_600},
@@ -29,6 +31,7 @@
   openMs: 300,
 };
 
+/** Creates a host with no model and no group unless the changes say so. */
 export function createHost(
   incarnation: string,
   changes: Partial<BackendRegistration> = {},
@@ -46,10 +49,11 @@
     stagedModels: [],
     ...changes,
   };
-  const {model: heldModel} = registration as BackendRegistration;
-  return {registration, seenAt, firstSeenAt: 0, loadedModel: heldModel};
+  const {model: loadedModel} = registration as BackendRegistration;
+  return {registration, seenAt, firstSeenAt: 0, loadedModel};
 }
 
+/** Creates hosts of one domain, named after it and numbered from 0. */
 export function createHosts(
   domain: string,
   count: number,
@@ -60,6 +64,7 @@
   );
 }
 
+/** Creates a group of the small model with these members, the head first. */
 export function createGroup(
   members: string[],
   changes: Partial<EngineGroup> = {},
@@ -80,6 +85,7 @@
   };
 }
 
+/** Creates the registration field in which a host reports its group. */
 export function createGroupReport(
   state: GroupReport['state'],
   rank = 0,
@@ -88,6 +94,7 @@
   return {group: {name: 'low-1', epoch, rank, state}};
 }
 
+/** Plans with a default input that has no groups, hosts or failures. */
 export function createPlan(changes: Partial<EnginePlanInput>): EngineAction[] {
   return planEngineGroups({
     pool: 'p',
@@ -111,7 +118,7 @@
   });
 }
 
-/** Orders as `kind incarnation`, changes of groups as `type name`. */
+/** Describes orders as `kind incarnation` and changes of groups as `type name`. */
 export function describeActions(actions: readonly EngineAction[]): string[] {
   return actions.map(action => {
     if (action.type === 'order') {
--- a/test/support/exit_with_parent.ts
+++ b/test/support/exit_with_parent.ts
@@ -1,5 +1,5 @@
 /**
- * Loaded before a binary that a test, demo or benchmark starts: the process
- * ends when whoever started it is gone, however that came about.
+ * Preloaded into binaries that a test, demo or benchmark starts: the process
+ * exits once its parent has exited or crashed, which closes its standard input.
  */
 process.stdin.once('end', () => process.exit(1)).resume();
--- a/test/support/fake_host.ts
+++ b/test/support/fake_host.ts
@@ -1,4 +1,4 @@
-/** A host process that does what a test says: it answers dispatches by hand. */
+/** A fake host process whose answers to dispatches are scripted by a test. */
 import {Message} from '../../src/protocol/message';
 import {MessageOf} from '../../src/protocol/message_of';
 import {Peer} from '../../src/protocol/peer';
@@ -7,14 +7,14 @@
 
 type Dispatch = MessageOf<WorkMessage, 'dispatch'>;
 
-/** How a fake host answers each dispatch. */
+/** Handles each dispatch that a fake host receives. */
 type Answer = (
   dispatch: Dispatch,
   send: (message: WorkMessage) => void,
   peer: Peer,
 ) => void;
 
-/** Listens like a host process. */
+/** Accepts connections like a host process and records the received messages. */
 export class FakeHost {
   readonly dispatches: Dispatch[] = [];
   readonly messages: Message[] = [];
--- a/test/support/gateway_fleet.ts
+++ b/test/support/gateway_fleet.ts
@@ -1,4 +1,4 @@
-/** One control process, gateways that follow it, and a backend server, all in this process. */
+/** Runs one control server, several gateways and fake backend servers in this process. */
 import {mkdtempSync} from 'node:fs';
 import * as http from 'node:http';
 import {tmpdir} from 'node:os';
@@ -14,41 +14,41 @@
 import {waitUntil} from './wait_until';
 
 const CHANNEL = 'operators';
-const ASK_MS = 10_000;
+const CALL_TIMEOUT_MS = 10_000;
 const REGISTER_EVERY_MS = 300;
 const POOL = 'p';
 
-/** What a fleet is made of. */
+/** Sizes and settings of a fleet. */
 interface GatewayFleetOptions {
   readonly gateways: number;
   /** How long a gateway may take to stop, in milliseconds. */
   readonly stopWithinMs: number;
-  /** Within which a change of rules is in force everywhere, in milliseconds. */
+  /** Time within which a change of rules is in force at every gateway, in milliseconds. */
   readonly changesWithinMs?: number;
   readonly route: Partial<GatewayRules['routes'][number]>;
   readonly handle: Parameters<typeof FakeBackend.create>[0];
-  /** Backend servers in place of the only one that never ends; `handle` is passed over. */
+  /** Backend servers that replace the single one that never crashes; `handle` is ignored then. */
   readonly restartingBackends?: RestartingBackends;
-  /** Connections that the backend server takes from all gateways and one more. */
+  /** Connection limit of the backend server, which the gateways share among themselves and one more. */
   readonly maxConnections?: number;
 }
 
-/** What a caller saw of one request. */
+/** The result of one request as its caller saw it. */
 interface CallerView {
-  /** 0 when there was no answer. */
+  /** 0 when there was no response. */
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** True when the answer came to its end. */
+  /** True when the response was complete. */
   readonly isWhole: boolean;
-  /** True when the connection was refused or closed before anything was read. */
+  /** True when the connection was refused, or reset before a response. */
   readonly isUnread: boolean;
 }
 
-/** A small fleet. */
+/** Starts, uses and stops such a fleet. */
 export class GatewayFleet {
   private timer: NodeJS.Timeout | undefined;
-  /** Kept, since a gateway that has stopped has none. */
+  /** Kept here because a stopped gateway no longer has a port. */
   private readonly ports: readonly number[];
 
   private constructor(
@@ -96,13 +96,19 @@
       ),
     );
     const backend = await FakeBackend.create(options.handle);
-    const {restartingBackends: slots} = options;
-    const fleet = new GatewayFleet(control, client, gateways, backend, slots);
+    const {restartingBackends} = options;
+    const fleet = new GatewayFleet(
+      control,
+      client,
+      gateways,
+      backend,
+      restartingBackends,
+    );
     await fleet.begin(createRules(options));
     return fleet;
   }
 
-  /** Sends one request to the gateway of this number and reads what comes of it. */
+  /** Sends one request to the gateway with this index and reads the response. */
   call(
     gateway: number,
     id: string,
@@ -121,21 +127,30 @@
         headers,
         agent,
       });
-      const nothing = {status: 0, headers: {}, body: '', isWhole: false};
+      const noResponse = {status: 0, headers: {}, body: '', isWhole: false};
       request.on('error', (error: NodeJS.ErrnoException) => {
-        // A dead port, or a kept connection whose close crossed this request.
+        // Nothing listens on the port, or the gateway closed a kept-alive connection while this request was on its way.
         const isUnread = ['ECONNREFUSED', 'ECONNRESET'].includes(
           error.code ?? '',
         );
-        resolve({...nothing, isUnread});
+        resolve({...noResponse, isUnread});
       });
       request.on('response', answer => {
         let text = '';
         answer.on('data', chunk => (text += String(chunk)));
         answer.on('error', () => undefined);
         answer.on('close', () => {
-          const {statusCode: status = 0, headers: told, complete} = answer;
-          const seen = {status, headers: told, body: text, isWhole: complete};
+          const {
+            statusCode: status = 0,
+            headers: responseHeaders,
+            complete,
+          } = answer;
+          const seen = {
+            status,
+            headers: responseHeaders,
+            body: text,
+            isWhole: complete,
+          };
           resolve({...seen, isUnread: false});
         });
       });
@@ -143,7 +158,7 @@
     });
   }
 
-  /** Takes the only control process away. */
+  /** Stops the only control server. */
   async stopControl(): Promise<void> {
     clearInterval(this.timer);
     this.client.close();
@@ -162,7 +177,7 @@
   private async begin(rules: GatewayRules): Promise<void> {
     const bundle = {channel: CHANNEL, source: 'source', rules};
     const ask = {type: 'channel-bundle-ask' as const, bundle};
-    await this.client.ask<'channel-bundle-ask'>(ask, ASK_MS);
+    await this.client.ask<'channel-bundle-ask'>(ask, CALL_TIMEOUT_MS);
     this.timer = setInterval(() => this.register(), REGISTER_EVERY_MS);
     this.register();
     await waitUntil('ready gateways', () =>
@@ -190,7 +205,7 @@
     };
     const ask = {type: 'registration-ask' as const, registration};
     void this.client
-      .ask<'registration-ask'>(ask, ASK_MS)
+      .ask<'registration-ask'>(ask, CALL_TIMEOUT_MS)
       .catch(() => undefined);
   }
 }
--- a/test/support/proxy_fixture.ts
+++ b/test/support/proxy_fixture.ts
@@ -1,4 +1,4 @@
-/** Requests carried through by a gateway's flow, with backend servers of the test. */
+/** Proxies requests through a gateway's request path to backend servers of a test. */
 import * as http from 'node:http';
 import {AddressInfo} from 'node:net';
 import {systemClock} from '../../src/common/system_clock';
@@ -24,7 +24,7 @@
 
 const CHECK_MS = 5;
 
-/** A plain route on which a request may run again. */
+/** A default route on which requests may be retried. */
 const ROUTE: Route = {
   name: 'r',
   host: 'h',
@@ -39,23 +39,23 @@
   isResumable: false,
 };
 
-/** What a caller got. */
+/** A response as the caller received it. */
 interface Received {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** False when the connection broke before the end. */
+  /** False when the connection failed before the end of the response. */
   readonly isWhole: boolean;
 }
 
-/** A small gateway of one route. */
+/** A minimal gateway with one route. */
 export class ProxyFixture {
   readonly results: RequestResult[] = [];
-  /** What the board was told at first. */
+  /** The initial targets of the load balancer. */
   targets: Array<[string, GatewayTarget]> = [];
   readonly forecast = SlotForecast.create(systemClock);
   readonly events = EventRing.create();
-  /** What the leader answers a question for a permit; at first nobody leads. */
+  /** Answers a permit request in place of the leader; rejects by default, as without a leader. */
   answerPermit: () => Promise<PermitVerdict> = () =>
     Promise.reject(new Error('nobody leads'));
   readonly signals = BackendSignals.create({
@@ -92,7 +92,7 @@
     private readonly model: string | undefined,
   ) {
     this.timer = setInterval(() => {
-      this.requests.forEach(flow => flow.check(systemClock.now()));
+      this.requests.forEach(request => request.check(systemClock.now()));
     }, CHECK_MS);
   }
 
@@ -117,7 +117,7 @@
     return fixture;
   }
 
-  /** Sends one request and reads its answer to the end. */
+  /** Sends one request and reads its response to the end. */
   send(headers: Record<string, string> = {}, body = ''): Promise<Received> {
     return new Promise((resolve, reject) => {
       const request = this.startRequest(headers, body);
@@ -138,7 +138,7 @@
     });
   }
 
-  /** Sends one request and leaves its answer to the test. */
+  /** Sends one request and leaves its response to the test. */
   startRequest(
     headers: Record<string, string> = {},
     body = '',
@@ -157,7 +157,7 @@
     return request;
   }
 
-  /** Requests that were taken so far. */
+  /** Number of requests received so far. */
   get requestCount(): number {
     return this.requests.size;
   }
@@ -182,7 +182,7 @@
         throw new Error(request);
       }
       const body = Buffer.concat(chunks);
-      const flow = ProxiedRequest.create({
+      const proxiedRequest = ProxiedRequest.create({
         request: {...request, model: this.model},
         identity: RequestIdentity.create({request, body}),
         containment: this.containment,
@@ -211,12 +211,12 @@
           this.results.push(result);
         },
       });
-      this.requests.add(flow);
+      this.requests.add(proxiedRequest);
     });
   }
 }
 
-/** Fast engines: a stream that pauses for more than some 90 ms has stopped. */
+/** Fast engines: a stream that pauses for more than about 90 ms counts as stalled. */
 const ENGINE: GatewayRules['pools'][number]['engine'] = {
   models: [{name: 'm', size: 1, pace: 1, share: 1, loadMs: 1_000, warmMs: 100}],
   slots: 4,
