--- a/test/support/compute_group_demand.ts
+++ b/test/support/compute_group_demand.ts
@@ -1,7 +1,7 @@
 import {EngineFleetOptions} from './engine_fleet_options';
 
 /**
- * Lists how many groups of each model the demand takes at a moment of the story.
+ * Computes the demand for each model in groups at a time of the simulation.
  *
  * @example
  * const wanted = listGroupsWanted(options, 6_000);
--- a/test/support/install_virtual_timeouts.ts
+++ b/test/support/install_virtual_timeouts.ts
@@ -1,9 +1,9 @@
 import {VirtualTime} from '../simulation/virtual_time';
 
 /**
- * Lets what waits by `setTimeout` wait on virtual time.
+ * Replaces `setTimeout` and `clearTimeout` by timers on virtual time.
  *
- * @returns puts the timers of this process back
+ * @returns restores the timers of the process
  */
 export function installVirtualTimeouts(time: VirtualTime): () => void {
   const {setTimeout: set, clearTimeout: clear} = globalThis;
--- a/test/support/managed_process.ts
+++ b/test/support/managed_process.ts
@@ -1,33 +1,33 @@
-/** One of the real binaries, started for a test, demo or benchmark. */
+/** Runs one of the real binaries for a test, demo or benchmark. */
 import {ChildProcess, spawn} from 'node:child_process';
 import * as path from 'node:path';
 
 const START_TIMEOUT_MS = 15_000;
 
-/** What to start. */
+/** The binary and its arguments. */
 interface ManagedProcessOptions {
   readonly label: string;
   /** Script below `build/`. */
   readonly script: string;
   readonly args: readonly string[];
-  /** Beside the variables of the test itself. */
+  /** Added to the environment of the test. */
   readonly env?: Readonly<Record<string, string>>;
 }
 
-/** Flags for Node itself, for a profile of every process: `--cpu-prof --cpu-prof-dir=...`. */
+/** Reads flags for Node.js, for instance to profile every process: `--cpu-prof --cpu-prof-dir=...`. */
 function readNodeArgs(): string[] {
   return (process.env['BENCH_NODE_ARGS'] ?? '')
     .split(' ')
     .filter(arg => arg !== '');
 }
 
-/** This file runs compiled below `build/`, or as it is under the test runner. */
+/** Finds the build folder, whether this file runs compiled below `build/` or from source under the test runner. */
 function findBuildFolder(): string {
   const root = path.resolve(__dirname, '../..');
   return path.basename(root) === 'build' ? root : path.join(root, 'build');
 }
 
-/** A child process that says when it is ready and is never left behind. */
+/** A child process that prints a ready line and exits with its parent. */
 export class ManagedProcess {
   readonly lines: string[] = [];
   readonly exited: Promise<number | null>;
@@ -105,14 +105,14 @@
     return this.child.pid ?? 0;
   }
 
-  /** Stops it as an operator would. */
+  /** Stops the process with SIGTERM, as an operator would, even if it is paused. */
   async stop(): Promise<number | null> {
     this.child.kill('SIGCONT');
     this.child.kill('SIGTERM');
     return this.exited;
   }
 
-  /** What the process sees when whoever started it is gone. */
+  /** Closes standard input, as the exit of the parent does. */
   closeInput(): void {
     this.child.stdin?.end();
   }
@@ -122,7 +122,7 @@
     await this.exited;
   }
 
-  /** Has it read its settings again. */
+  /** Makes the process reload its settings. */
   reload(): void {
     this.child.kill('SIGHUP');
   }
--- a/test/support/plain_dialect.ts
+++ b/test/support/plain_dialect.ts
@@ -1,4 +1,4 @@
-/** Header names of nobody in particular, for tests of the gateway. */
+/** An HTTP dialect with generic header names, for tests of the gateway. */
 import {HttpDialect} from '../../src/gateway/http_dialect';
 
 export const plainDialect: HttpDialect = {
--- a/test/support/raft_network.ts
+++ b/test/support/raft_network.ts
@@ -1,4 +1,4 @@
-/** A few agreement nodes with a network and disks made of plain values and a virtual clock. */
+/** Raft nodes with a simulated network, simulated disks and a virtual clock. */
 import {RaftEffects} from '../../src/coordination/agreement/raft_effects';
 import {RaftEvent} from '../../src/coordination/agreement/raft_event';
 import {RaftLog} from '../../src/coordination/agreement/raft_log';
@@ -15,7 +15,7 @@
   readonly message: RaftMessage;
 }
 
-/** What survives a crash. */
+/** The state that survives a crash. */
 interface Disk {
   term: number;
   votedFor: string | undefined;
@@ -24,28 +24,28 @@
   commitIndex?: number;
 }
 
-/** One node, its disk, and what it applied. */
+/** A node, its disk and the entries that it applied. */
 interface Member {
   node: RaftNode;
   disk: Disk;
   unsynced: Array<{
     persist: RaftEffects['persist'];
     messages: RaftEffects['messages'];
-    /** Known to be committed then: it is written beside entries. */
+    /** The commit index at that time, which is written together with entries. */
     commitIndex: number;
   }>;
   applied: LogEntry[];
   isUp: boolean;
 }
 
-/** Steps nodes by hand; every choice comes from outside. */
+/** Steps the nodes; the test chooses the order of all events. */
 export class RaftNetwork {
   now = 0;
   readonly members = new Map<string, Member>();
   readonly messagesInFlight: MessageInFlight[] = [];
-  /** Every leader that was ever seen, by term. */
+  /** Every leader seen so far, by term. */
   readonly leaders = new Map<number, string>();
-  /** Every entry that was ever committed anywhere, by index. */
+  /** Every entry committed so far on any node, by index. */
   readonly committed = new Map<number, string>();
   private readonly cuts = new Set<string>();
 
@@ -66,12 +66,12 @@
     return new RaftNetwork(identities, random);
   }
 
-  /** Puts a node with this disk in, one that was there before or a new one. */
+  /** Adds a node with this disk, or replaces the one of this identity. */
   addNode(identity: string, disk: Disk): void {
     this.members.set(identity, this.startMember(identity, disk));
   }
 
-  /** Lets time pass, syncs at once and delivers everything. */
+  /** Advances time, syncs all disks and delivers all messages. */
   run(ms: number): void {
     for (let passed = 0; passed < ms; passed += 20) {
       this.tick(20);
@@ -83,7 +83,7 @@
     return [...this.members.keys()];
   }
 
-  /** Lets time pass at every node that is up. */
+  /** Advances time at every node that is up. */
   tick(ms: number): void {
     this.now += ms;
     for (const identity of this.identities) {
@@ -99,19 +99,19 @@
     this.step(identity, {type: 'propose', commands});
   }
 
-  /** Delivers one message under way; a cut link loses it. */
+  /** Delivers one message in messageInFlight; a cut link drops it. `isKept` leaves it in messageInFlight, to be delivered again. */
   deliver(at: number, isKept = false): void {
-    const flight = this.messagesInFlight[at];
+    const messageInFlight = this.messagesInFlight[at];
     if (!isKept) {
       this.messagesInFlight.splice(at, 1);
     }
-    const {from, to, message} = flight;
+    const {from, to, message} = messageInFlight;
     if (!this.cuts.has(`${from}>${to}`)) {
       this.step(to, {type: 'message', from, message});
     }
   }
 
-  /** Brings everything that a node waits for onto its disk. */
+  /** Writes all pending changes of a node to its disk and sends the messages that waited for them. */
   sync(identity: string): void {
     const member = this.get(identity);
     const jobs = member.unsynced;
@@ -149,7 +149,7 @@
     this.cuts.clear();
   }
 
-  /** Runs without faults until a leader has committed something new everywhere. */
+  /** Runs without faults until every node has committed a new entry; false when that takes too long. */
   runUntilCommitted(): boolean {
     this.heal();
     for (const [identity, member] of this.members) {
@@ -189,7 +189,7 @@
     return member;
   }
 
-  /** False when nothing was under way or on its way to a disk. */
+  /** Syncs all disks and delivers the messages in messageInFlight; false when there were none. */
   private deliverAll(): boolean {
     this.identities.forEach(identity => this.sync(identity));
     const count = this.messagesInFlight.length;
@@ -258,7 +258,7 @@
   }
 
   private sendAll(from: string, messages: RaftEffects['messages']): void {
-    // Messages travel as bytes, so a receiver never shares an object with a sender.
+    // Copied as if serialized, so that a receiver never shares an object with a sender.
     messages.forEach(({to, message}) => {
       this.messagesInFlight.push({from, to, message: structuredClone(message)});
     });
--- a/test/support/rate_limit_simulation.ts
+++ b/test/support/rate_limit_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Many gateways in front of one backend server that names a limit, and the leader
- * whose permits they need. Gateways and leader are the real ones; links and the
- * backend server are virtual.
+ * Simulates many gateways in front of one backend server that advertises a rate limit,
+ * and the leader that issues their permits. The rate limit code of the gateways and the
+ * leader is the real one; the network and the backend server are simulated.
  */
 import {Clock} from '../../src/common/clock';
 import {EventRing} from '../../src/common/event_ring';
@@ -11,16 +11,16 @@
 import {VirtualTime} from '../simulation/virtual_time';
 
 export const BACKEND = 'b1@1';
-/** Between two exchanges of a gateway with control. */
-const TELL_EVERY_MS = 250;
+/** Interval between two exchanges of a gateway with control. */
+const REPORT_INTERVAL_MS = 250;
 const WINDOW_MS = 4_000;
 
-/** Sizes and load of a crowd. */
+/** Sizes and load of a simulation. */
 interface RateLimitSimulationOptions {
   readonly gateways: number;
-  /** Requests a second that the backend server names at a moment; undefined for none. */
+  /** The limit that the backend server advertises at a time, in requests per second; undefined for none. */
   readonly limitAt: (at: number) => number | undefined;
-  /** Requests a second that would go there from one gateway at a moment. */
+  /** Requests per second that one gateway would send without a limit, at a time. */
   readonly demandAt: (at: number, gateway: number) => number;
   /** Uniform in [0, 1), seeded. */
   readonly random: () => number;
@@ -30,46 +30,46 @@
 interface ReceivedRequest {
   readonly at: number;
   readonly gateway: number;
-  /** Its gateway had heard of the limit. */
+  /** The gateway knew of the limit when it sent the request. */
   readonly isLimitKnown: boolean;
 }
 
 class SimulatedGateway {
   limits: BackendRateLimits;
-  /** Frozen or suspended until then. */
+  /** The gateway's machine is frozen or suspended until then. */
   pausedUntil = -Infinity;
   isPartitioned = false;
-  /** Time that its steady clock did not count. */
+  /** Total time of suspensions, which the monotonic clock does not count. */
   suspendedMs = 0;
-  readonly steady: Clock;
+  readonly monotonicClock: Clock;
 
   constructor(
     readonly index: number,
     private readonly simulation: RateLimitSimulation,
   ) {
-    this.steady = {now: () => simulation.time.now() - this.suspendedMs};
+    this.monotonicClock = {now: () => simulation.time.now() - this.suspendedMs};
     this.limits = this.start();
   }
 
   start(): BackendRateLimits {
-    const {simulation: crowd, steady} = this;
+    const {simulation, monotonicClock} = this;
     this.limits = BackendRateLimits.create({
-      clock: steady,
-      leaseClock: crowd.time,
+      clock: monotonicClock,
+      leaseClock: simulation.time,
       events: EventRing.create(),
-      askPermit: limit => crowd.askPermit(this, limit),
-      onNews: () => crowd.exchange(this),
+      askPermit: limit => simulation.askPermit(this, limit),
+      onNews: () => simulation.exchange(this),
     });
     return this.limits;
   }
 }
 
-/** A crowd at work. */
+/** Runs one simulation. */
 export class RateLimitSimulation {
   readonly time = VirtualTime.create();
   readonly gateways: SimulatedGateway[];
   readonly receivedRequests: ReceivedRequest[] = [];
-  /** When the first answer named the limit. */
+  /** When the first response that advertised the limit arrived. */
   firstAdvertisedAt: number | undefined;
   permitRequestCount = 0;
   private limitService: RateLimitService | undefined;
@@ -83,46 +83,46 @@
   }
 
   static create(options: RateLimitSimulationOptions): RateLimitSimulation {
-    const crowd = new RateLimitSimulation(options);
-    // It has led for long enough that no other leader's permits are in use.
-    crowd.elect(-60_000);
-    crowd.gateways.forEach(gateway => {
-      crowd.time.after(options.random() * TELL_EVERY_MS, () =>
-        crowd.repeatExchange(gateway),
+    const simulation = new RateLimitSimulation(options);
+    // The leader has been in office long enough for all permits of earlier leaders to have expired.
+    simulation.startLeader(-60_000);
+    simulation.gateways.forEach(gateway => {
+      simulation.time.after(options.random() * REPORT_INTERVAL_MS, () =>
+        simulation.repeatExchange(gateway),
       );
-      crowd.arrive(gateway);
+      simulation.scheduleArrival(gateway);
     });
-    return crowd;
+    return simulation;
   }
 
   async run(untilMs: number): Promise<void> {
     await this.time.runUntil(untilMs, () => false);
   }
 
-  /** Nobody leads for a while, and then another process does. */
+  /** Removes the leader; another one takes over after this time. */
   changeLeader(withoutMs: number): void {
     this.limitService = undefined;
-    this.time.after(withoutMs, () => this.elect(this.time.now()));
+    this.time.after(withoutMs, () => this.startLeader(this.time.now()));
   }
 
-  /** A process of a gateway ends, and another begins without knowing anything. */
+  /** Restarts a gateway, which loses all its state. */
   restart(gateway: number): void {
     this.gateways[gateway].start();
   }
 
-  /** A machine stands still; its steady clock may not count that. */
+  /** Pauses a gateway's machine; the monotonic clock does not count the time if it is suspended. */
   pause(gateway: number, ms: number, isSuspended: boolean): void {
     const paused = this.gateways[gateway];
     paused.pausedUntil = this.time.now() + ms;
     paused.suspendedMs += isSuspended ? ms : 0;
   }
 
-  /** Gateways that know the limit now. */
+  /** Counts the gateways that know of the limit now. */
   countInformed(): number {
     return this.gateways.filter(({limits}) => limits.isLimited(BACKEND)).length;
   }
 
-  /** The most requests of gateways that had heard, over any window that ends after a moment. */
+  /** Counts the requests of informed gateways in the fullest window of those that arrived since a time. */
   countMaxPerWindow(from = 0): number {
     const times = this.listInformedRequestTimes(from);
     let most = 0;
@@ -136,19 +136,19 @@
     return most;
   }
 
-  /** Requests of gateways that had heard, between two moments. */
+  /** Counts the requests of informed gateways that arrived between two times. */
   countInformedRequests(from: number, to: number): number {
     return this.listInformedRequestTimes(from).filter(at => at < to).length;
   }
 
   private listInformedRequestTimes(from: number): number[] {
     const sent = this.receivedRequests.filter(
-      ({at, isLimitKnown: isByPermit}) => isByPermit && at >= from,
+      ({at, isLimitKnown}) => isLimitKnown && at >= from,
     );
     return sent.map(({at}) => at).sort((left, right) => left - right);
   }
 
-  /** Lets something happen at a gateway, as soon as it runs. */
+  /** Runs an action at a gateway after a delay, and not before a pause of its machine ends. */
   runWhenAwake(gateway: SimulatedGateway, inMs: number, act: () => void): void {
     this.time.after(inMs, () => {
       const away = gateway.pausedUntil - this.time.now();
@@ -181,21 +181,22 @@
     });
   }
 
-  /** One question about news, and its answer. */
+  /** Reports a gateway's limits to the leader and applies the changes in its answer. */
   exchange(gateway: SimulatedGateway): void {
     const {limits} = gateway;
-    const {limitsTag, limits: words} = limits.describeNews();
+    const {limitsTag, limits: reports} = limits.describeNews();
     this.time.after(this.drawDelay(), () => {
-      const {limitService: desk} = this;
-      if (!desk || gateway.isPartitioned) {
+      const {limitService} = this;
+      if (!limitService || gateway.isPartitioned) {
         return;
       }
-      desk.recordReports(`g${gateway.index}`, words);
-      const tag = desk.readTag();
-      const news = tag === limitsTag ? [] : desk.listChangesSince(limitsTag);
+      limitService.recordReports(`g${gateway.index}`, reports);
+      const tag = limitService.readTag();
+      const news =
+        tag === limitsTag ? [] : limitService.listChangesSince(limitsTag);
       this.runWhenAwake(gateway, this.drawDelay(), () => {
         if (gateway.limits === limits) {
-          limits.applyNews(words, tag, news);
+          limits.applyNews(reports, tag, news);
         }
       });
     });
@@ -203,12 +204,12 @@
 
   private repeatExchange(gateway: SimulatedGateway): void {
     this.exchange(gateway);
-    this.runWhenAwake(gateway, TELL_EVERY_MS, () =>
+    this.runWhenAwake(gateway, REPORT_INTERVAL_MS, () =>
       this.repeatExchange(gateway),
     );
   }
 
-  private elect(leadingSince: number): void {
+  private startLeader(leadingSince: number): void {
     this.term += 1;
     const {term} = this;
     this.limitService = RateLimitService.create({
@@ -222,7 +223,7 @@
     });
   }
 
-  /** A question that control holds is answered as soon as there is news. */
+  /** Exchanges again after a change, as control answers a held long poll then. */
   private notify(gateway: SimulatedGateway, term: number): void {
     this.time.after(5, () => {
       if (this.term === term) {
@@ -231,45 +232,45 @@
     });
   }
 
-  /** Requests that this gateway would send there, one after the other. */
-  private arrive(gateway: SimulatedGateway): void {
+  /** Schedules the requests that arrive at a gateway. */
+  private scheduleArrival(gateway: SimulatedGateway): void {
     const {random, demandAt} = this.options;
     const perSecond = demandAt(this.time.now(), gateway.index);
     if (perSecond === 0) {
-      this.runWhenAwake(gateway, 100, () => this.arrive(gateway));
+      this.runWhenAwake(gateway, 100, () => this.scheduleArrival(gateway));
       return;
     }
     const inMs = (-Math.log(1 - random()) / perSecond) * 1_000;
     this.runWhenAwake(gateway, Math.min(inMs, 1_000), () => {
       if (inMs <= 1_000) {
-        void this.place(gateway);
+        void this.sendIfPermitted(gateway);
       }
-      this.arrive(gateway);
+      this.scheduleArrival(gateway);
     });
   }
 
-  private async place(gateway: SimulatedGateway): Promise<void> {
+  private async sendIfPermitted(gateway: SimulatedGateway): Promise<void> {
     const {limits} = gateway;
     if (!limits.isAvailable(BACKEND)) {
       return;
     }
-    const isByPermit = limits.isLimited(BACKEND);
-    const permit = isByPermit && (await limits.acquirePermit(BACKEND));
-    const maySend = !isByPermit || permit;
+    const isLimitKnown = limits.isLimited(BACKEND);
+    const permit = isLimitKnown && (await limits.acquirePermit(BACKEND));
+    const maySend = !isLimitKnown || permit;
     if (maySend && gateway.limits === limits) {
-      this.send(gateway, isByPermit);
+      this.send(gateway, isLimitKnown);
     }
   }
 
-  private send(gateway: SimulatedGateway, isByPermit: boolean): void {
+  private send(gateway: SimulatedGateway, isLimitKnown: boolean): void {
     const {limits} = gateway;
-    const sentAt = gateway.steady.now();
+    const sentAt = gateway.monotonicClock.now();
     this.time.after(this.drawDelay(), () => {
       const at = this.time.now();
       this.receivedRequests.push({
         at,
         gateway: gateway.index,
-        isLimitKnown: isByPermit,
+        isLimitKnown,
       });
       const answerMs = 20 + this.options.random() * 200;
       this.time.after(answerMs, () => {
--- a/test/support/relay.ts
+++ b/test/support/relay.ts
@@ -1,10 +1,10 @@
-/** A small TCP relay between two processes: it delays, resets, cuts or silences what passes. */
+/** A TCP relay between two processes that injects delays, resets, refused connections and stalls. */
 import * as net from 'node:net';
 import {RelayPair} from './relay_pair';
 
 type Direction = 'forward' | 'back';
 
-/** Passes bytes on until it is told otherwise. */
+/** Forwards bytes unless a fault is injected. */
 export class Relay {
   private readonly pairs = new Set<RelayPair>();
   private readonly pausedDirections = new Set<Direction>();
@@ -17,7 +17,7 @@
     private readonly targetHost: string,
   ) {}
 
-  /** Starts a relay to a port on this machine; 0 is set later with `aim`. */
+  /** Starts a relay to a port; a target port of 0 is set later with `setTarget`. */
   static async create(
     targetPort: number,
     targetHost = '127.0.0.1',
@@ -37,34 +37,34 @@
     this.targetPort = targetPort;
   }
 
-  /** Keeps connections open but lets no byte pass in these ways. */
-  pause(ways: readonly Direction[]): void {
-    ways.forEach(way => this.pausedDirections.add(way));
+  /** Stops forwarding in these directions, with connections kept open. */
+  pause(directions: readonly Direction[]): void {
+    directions.forEach(direction => this.pausedDirections.add(direction));
     this.pairs.forEach(pair => pair.pause(this.pausedDirections));
   }
 
-  /** Open connections pass nothing any more, not even their end; new ones work. */
+  /** Stops forwarding on open connections for good, including their end; new connections work. */
   pauseOpenForever(): void {
     this.pairs.forEach(pair => pair.pauseForever());
   }
 
-  /** Bytes read from now on arrive this much later, in milliseconds. */
+  /** Delays bytes read from now on, by this many milliseconds. */
   delay(ms: number): void {
     this.delayMs = ms;
   }
 
-  /** Resets every connection; new ones work. */
+  /** Resets every open connection; new connections work. */
   reset(): void {
     this.pairs.forEach(pair => pair.reset());
   }
 
-  /** Ends every connection and refuses new ones. */
+  /** Closes every connection and refuses new ones. */
   break(): void {
     this.isBroken = true;
     this.pairs.forEach(pair => pair.destroy());
   }
 
-  /** Lets everything pass again; held bytes arrive late. */
+  /** Removes all faults, but not from connections paused for good; bytes held back are forwarded now. */
   restore(): void {
     this.isBroken = false;
     this.delayMs = 0;
--- a/test/support/relay_network.ts
+++ b/test/support/relay_network.ts
@@ -1,7 +1,7 @@
-/** The relays of one test fleet, by who connects and to whom. */
+/** The relays of one test fleet, by source and destination. */
 import {Relay} from './relay';
 
-/** Gives out a relay for each pair that a scenario may cut. */
+/** Creates a relay for each pair of processes that a scenario may disconnect. */
 export class RelayNetwork {
   private readonly relays = new Map<string, Relay>();
 
@@ -11,7 +11,7 @@
     return new RelayNetwork();
   }
 
-  /** The port on which `from` reaches `to`; `*` stands for everybody. */
+  /** Opens a relay, if there is none yet, and returns the port on which `from` reaches `to`; `*` stands for all processes. */
   async open(
     from: string,
     to: string,
@@ -29,18 +29,18 @@
     return relay.port;
   }
 
-  /** Points an open relay to another port. */
+  /** Changes the target port of an open relay. */
   aim(from: string, to: string, targetPort: number): void {
     this.relays.get(createName(from, to))?.setTarget(targetPort);
   }
 
-  /** Every relay whose ends fit; `*` fits all. */
+  /** Lists the relays whose source and destination match; `*` matches all. */
   select(from: string, to: string): Relay[] {
-    const fits = (pattern: string, name: string) =>
+    const matches = (pattern: string, name: string) =>
       pattern === '*' || pattern === name;
     const found = [...this.relays].filter(([name]) => {
       const [left, right] = name.split('>');
-      return fits(from, left) && fits(to, right);
+      return matches(from, left) && matches(to, right);
     });
     if (found.length === 0) {
       throw new Error(`no link from ${from} to ${to}`);
--- a/test/support/relay_pair.ts
+++ b/test/support/relay_pair.ts
@@ -1,9 +1,9 @@
-/** The two connections behind one accepted by a relay. */
+/** The accepted and the outgoing connection of one relayed connection. */
 import * as net from 'node:net';
 
 type Direction = 'forward' | 'back';
 
-/** Passes bytes and ends from one to the other, both ways. */
+/** Forwards bytes and the end of the connection in both directions. */
 export class RelayPair {
   private isPausedForever = false;
 
@@ -18,8 +18,8 @@
   }
 
   /**
-   * @param delayMs how much later bytes read now are written, in milliseconds
-   * @param onClosed told when both connections are closed
+   * @param delayMs delay of bytes that are read now, in milliseconds
+   * @param onClosed called when both connections are closed
    */
   static create(
     near: net.Socket,
@@ -30,14 +30,14 @@
     return new RelayPair(near, far, delayMs, onClosed);
   }
 
-  /** Lets nothing pass in these ways; all others pass. */
-  pause(ways: ReadonlySet<Direction>): void {
+  /** Stops forwarding in these directions and resumes it in all others. */
+  pause(directions: ReadonlySet<Direction>): void {
     const {near, far} = this;
-    for (const [socket, way] of [
+    for (const [socket, direction] of [
       [near, 'forward'],
       [far, 'back'],
     ] as const) {
-      if (this.isPausedForever || ways.has(way)) {
+      if (this.isPausedForever || directions.has(direction)) {
         socket.pause();
       } else {
         socket.resume();
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Neither bytes nor ends pass any more. */
+  /** Stops forwarding bytes and the end of the connection for good. */
   pauseForever(): void {
     this.isPausedForever = true;
     this.near.pause();
@@ -98,7 +98,7 @@
     });
   }
 
-  /** A reset stays a reset: some programs take a plain end for a whole answer. */
+  /** Forwards a reset as a reset, since some programs take a regular end for a complete response. */
   private passEnd(to: net.Socket, wasReset: boolean): void {
     if (this.isPausedForever) {
       return;
--- a/test/support/reserve_port.test.ts
+++ b/test/support/reserve_port.test.ts
@@ -1,4 +1,4 @@
-// A fleet failed to start: another test had been given the same free port, and listened first.
+// Guards against two tests that get the same free port: the fleet of the slower one failed to start.
 import {afterEach, expect, test, vi} from 'vitest';
 import {reservePort} from './reserve_port';
 
--- a/test/support/reserve_port.ts
+++ b/test/support/reserve_port.ts
@@ -3,39 +3,39 @@
 import {tmpdir} from 'node:os';
 import * as path from 'node:path';
 
-/** Below the range from which the kernel takes ports for others. */
+/** The range lies below the ephemeral ports of the kernel. */
 const FIRST_PORT = 20_000;
 const LAST_PORT = 29_999;
-/** One file for each port that is given away, seen by all test processes of this machine. */
+/** Holds a lock file for each reserved port, shared by all test processes on this machine. */
 const FOLDER = path.join(tmpdir(), 'whinreel-test-ports');
-/** Longer than any test that starts its processes anew at the same port. */
-const HELD_MS = 600_000;
+/** Longer than any test that restarts its processes on the same port. */
+const LOCK_EXPIRY_MS = 600_000;
 
 /**
- * Finds a port that is free now; control processes must know each other's
- * beforehand. A port that the kernel or another test could give to somebody else
- * in the meantime made fleets fail to start now and then.
+ * Reserves a free port, since control processes must know each other's ports before
+ * they start. Fleets sometimes failed to start when the kernel or another test gave the
+ * port to another process in the meantime.
  */
 export async function reservePort(): Promise<number> {
   mkdirSync(FOLDER, {recursive: true});
   for (;;) {
     const span = LAST_PORT - FIRST_PORT + 1;
     const port = FIRST_PORT + Math.floor(Math.random() * span);
-    if (take(port) && (await isFree(port))) {
+    if (claim(port) && (await isFree(port))) {
       return port;
     }
   }
 }
 
-/** Only one process can make a file that must not be there yet. */
-function take(port: number): boolean {
+/** Claims a port by creating its lock file exclusively; false when it is claimed already. */
+function claim(port: number): boolean {
   const file = path.join(FOLDER, String(port));
   try {
-    if (Date.now() - statSync(file).mtimeMs > HELD_MS) {
+    if (Date.now() - statSync(file).mtimeMs > LOCK_EXPIRY_MS) {
       rmSync(file, {force: true});
     }
   } catch {
-    // Nobody holds it.
+    // There is no lock file.
   }
   try {
     closeSync(openSync(file, 'wx'));
--- a/test/support/scenario.ts
+++ b/test/support/scenario.ts
@@ -1,24 +1,24 @@
-/** The small language of scenarios: what a file may say. */
+/** The schema of scenario files. */
 import {z} from 'zod';
 
 const Id = z.string();
 
 const Link = z.strictObject({
-  /** `*` stands for everybody; a host is reached by everybody through one link. */
+  /** `*` stands for all processes; a host process has one link that all processes share. */
   from: Id.default('*'),
   to: Id,
-  /** Silence keeps connections open; otherwise they are reset and refused. */
+  /** `broken` closes connections and refuses new ones; the others stall that direction with connections kept open. */
   way: z.enum(['both', 'forward', 'back', 'broken']).default('both'),
 });
 
-/** Each step has one of these keys. */
+/** The argument of each kind of step; a step has exactly one of these keys. */
 const STEP_SCHEMAS = {
   kill: Id,
   pause: Id,
   resume: Id,
-  /** Sends SIGTERM and goes on; `waitFor: {gone: ID}` waits for its end. */
+  /** Sends SIGTERM without waiting; `waitFor: {gone: ID}` waits for the exit. */
   stop: Id,
-  /** Starts a process again that was killed or stopped. */
+  /** Restarts a process that was killed or stopped. */
   start: Id,
   loseDisk: Id,
   cut: Link,
@@ -28,7 +28,7 @@
     tokenMs: z.number().optional(),
     breakAfterTokens: z.number().optional(),
     isLeaving: z.boolean().optional(),
-    /** Holds every answer back, or lets it go again. */
+    /** Holds back all responses, or releases them. */
     hold: z.boolean().optional(),
   }),
   rollOut: z.strictObject({
@@ -39,7 +39,7 @@
     isForged: z.boolean().default(false),
     /** Sends the file of an earlier roll-out again. */
     again: z.string().optional(),
-    /** The version before that it was made from; the newest by default. */
+    /** Leaves out the digest of the previous version, which is that of the newest by default. */
     isMadeFromNothing: z.boolean().default(false),
   }),
   expectRollOut: z.strictObject({
@@ -58,14 +58,14 @@
     key: z.string().optional(),
     isOnce: z.boolean().default(false),
     deadlineMs: z.int().optional(),
-    /** Reads nothing of the answer until the scenario ends. */
+    /** Reads nothing of the response until the scenario ends. */
     isSlowReader: z.boolean().default(false),
-    /** Asks again for as long as it is told that nothing ran, as callers may. */
+    /** Retries while the outcome is `not-run`, as callers may. */
     isPatient: z.boolean().default(true),
-    /** Asks again until it is told this outcome. */
+    /** Retries until this outcome. */
     until: z.string().optional(),
   }),
-  /** Waits for the answer and checks it. */
+  /** Waits for the response and checks it. */
   expect: z.strictObject({
     answer: Id,
     status: z.union([z.int(), z.array(z.int())]).optional(),
@@ -74,7 +74,7 @@
     tokens: z.int().optional(),
     contains: z.string().optional(),
   }),
-  /** Checks how often something ran, by the stand-ins' own count. */
+  /** Checks how often a request ran, as counted by the simulated engines. */
   expectRuns: z.strictObject({
     body: z.string(),
     count: z.int().optional(),
@@ -94,9 +94,9 @@
     noGroup: Id.optional(),
     bundleEverywhere: z.int().optional(),
     leaderIsNot: Id.optional(),
-    /** Every voter is reachable from the leader, under whatever disk. */
+    /** This many voters are reachable from the leader and caught up, whichever disks they have. */
     votersReachable: z.int().optional(),
-    /** A stand-in runs this many requests. */
+    /** A simulated engine runs this many requests. */
     running: z.strictObject({host: Id, count: z.int()}).optional(),
     gone: Id.optional(),
     ready: Id.optional(),
@@ -122,9 +122,9 @@
   controls: z.int().default(3),
   entries: z.int().default(1),
   snapshotEvery: z.int().optional(),
-  /** How long an entry or a host process may take to stop; its own default otherwise. */
+  /** Shutdown timeout of entry and host processes; their default when undefined. */
   stopWithinMs: z.int().optional(),
-  /** All processes talk mutual TLS. */
+  /** All processes use mutual TLS. */
   isTls: z.boolean().default(false),
   hosts: z.record(z.string(), Host),
   models: z
@@ -142,20 +142,20 @@
   steps: z.array(z.record(z.string(), z.unknown())),
 });
 
-/** What one kind of step takes. */
+/** The parsed argument of each kind of step. */
 export type StepArguments = {
   [K in keyof typeof STEP_SCHEMAS]: z.infer<(typeof STEP_SCHEMAS)[K]>;
 };
 
-/** A scenario as its file says. */
+/** A parsed scenario file. */
 export type Scenario = z.infer<typeof Scenario>;
 
-/** Checks a scenario, naming the step that is wrong. */
+/** Parses a scenario file. Its steps are parsed one by one with `parseStep`. */
 export function parseScenario(document: unknown): Scenario {
   return Scenario.parse(document);
 }
 
-/** Checks one step. */
+/** Parses one step; throws if its kind is unknown or its argument is invalid. */
 export function parseStep(step: Record<string, unknown>): {
   name: keyof StepArguments;
   value: StepArguments[keyof StepArguments];
--- a/test/support/scenario_conditions.ts
+++ b/test/support/scenario_conditions.ts
@@ -2,7 +2,7 @@
 import {FleetStatus} from '../../src/protocol/fleet_status';
 import {StepArguments} from './scenario';
 
-/** What a `waitFor` step asks of the status. */
+/** Lists the conditions of a `waitFor` step on the fleet's status. */
 export function listConditions(
   value: StepArguments['waitFor'],
   resolveName: (id: string) => string,
@@ -24,7 +24,7 @@
   }
   if (group) {
     conditions.push(({groups}) =>
-      groups.some(found => fitsGroup(found, group)),
+      groups.some(found => matchesGroup(found, group)),
     );
   }
   if (noGroup) {
@@ -51,7 +51,7 @@
   return conditions;
 }
 
-function fitsGroup(
+function matchesGroup(
   found: FleetStatus['groups'][number],
   wanted: NonNullable<StepArguments['waitFor']['group']>,
 ): boolean {
--- a/test/support/scenario_runner.ts
+++ b/test/support/scenario_runner.ts
@@ -1,4 +1,4 @@
-/** Plays a scenario against real processes. */
+/** Runs a scenario against real processes. */
 import {generateKeyPairSync} from 'node:crypto';
 import {rmSync} from 'node:fs';
 import {expect} from 'vitest';
@@ -26,7 +26,7 @@
 /** Runs the steps of one scenario in order. */
 export class ScenarioRunner {
   private readonly answers = new Map<string, Promise<CallResult>>();
-  private readonly settled = new Set<string>();
+  private readonly finished = new Set<string>();
   private readonly rollOuts = new Map<
     string,
     {answer: RollOutAnswer; signed: SignedBundle}
@@ -41,7 +41,7 @@
     private bundle: Bundle,
   ) {}
 
-  /** Starts the fleet, rolls out the bundle, plays every step, ends everything. */
+  /** Starts the fleet, rolls out the bundle, runs every step and stops the fleet. */
   static async run(scenario: Scenario): Promise<void> {
     const {controls, entries, snapshotEvery, stopWithinMs} = scenario;
     const hosts = Object.entries(scenario.hosts).map(([hostId, host]) => ({
@@ -71,7 +71,7 @@
     const bundle = Bundle.parse({
       operator: 'scenario',
       version: 1,
-      // Stand-ins load nothing, so repairs need not weigh a loading time.
+      // The simulated engines load no weights, so repairs need not account for a loading time.
       models: scenario.models.map(model => ({...model, loadSeconds: 0.1})),
       services: scenario.services.map(service => ({
         ...service,
@@ -210,10 +210,10 @@
   }
 
   private async rollOut(value: StepArguments['rollOut']): Promise<void> {
-    const earlier = this.rollOuts.get(value.again ?? '');
-    if (earlier) {
-      const answer = await this.fleet.operator.rollOut(earlier.signed);
-      this.rollOuts.set(value.as, {answer, signed: earlier.signed});
+    const repeated = this.rollOuts.get(value.again ?? '');
+    if (repeated) {
+      const answer = await this.fleet.operator.rollOut(repeated.signed);
+      this.rollOuts.set(value.as, {answer, signed: repeated.signed});
       return;
     }
     const next = {
@@ -268,12 +268,15 @@
     }
     const {isSlowReader} = value;
     const url = `${this.fleet.getEntryUrl(this.resolve(value.at))}${path}`;
-    const ask = () => call({url, method: 'POST', headers, body, isSlowReader});
+    const sendOnce = () =>
+      call({url, method: 'POST', headers, body, isSlowReader});
     const isDone = (outcome: string) =>
       value.until ? outcome === value.until : outcome !== 'not-run';
-    const answer = value.isPatient ? askPatiently(ask, isDone) : ask();
+    const answer = value.isPatient
+      ? sendWithRetries(sendOnce, isDone)
+      : sendOnce();
     this.answers.set(value.as, answer);
-    void answer.then(() => this.settled.add(value.as));
+    void answer.then(() => this.finished.add(value.as));
   }
 
   private async expectAnswer(value: StepArguments['expect']): Promise<void> {
@@ -305,13 +308,13 @@
     if (value.contains !== undefined) {
       expect(text).toContain(value.contains);
     }
-    const hasMark = text.endsWith('data: [DONE]\n\n');
-    // Before its first token a broken answer is a problem document, after it an event.
+    const hasDoneMark = text.endsWith('data: [DONE]\n\n');
+    // A failed response is a problem document before its first token, and an error event after it.
     const isProblem = status >= 500 && text.startsWith('{"type"');
     const hasError = isProblem || text.includes('event: error\n');
     const ends = {
-      mark: hasMark && !hasError && !isBroken,
-      error: hasError && !hasMark && !isBroken,
+      mark: hasDoneMark && !hasError && !isBroken,
+      error: hasError && !hasDoneMark && !isBroken,
       whole: !isBroken,
       broken: isBroken,
     };
@@ -356,13 +359,13 @@
   }
 }
 
-/** A caller may ask again at once after `not-run`; others would wait as long as they are told. */
-async function askPatiently(
-  ask: () => Promise<CallResult>,
+/** Retries at once until the outcome is accepted; callers outside a test would wait for the time that the response names. */
+async function sendWithRetries(
+  sendOnce: () => Promise<CallResult>,
   isDone: (outcome: string) => boolean,
 ): Promise<CallResult> {
   return waitUntil('an answer with the awaited outcome', async () => {
-    const result = await ask();
+    const result = await sendOnce();
     return isDone(result.outcome) ? result : undefined;
   });
 }
--- a/test/support/suspension.ts
+++ b/test/support/suspension.ts
@@ -1,13 +1,13 @@
 /**
- * A suspension of this process's machine, as its clocks show it: the time of day
- * goes on by its length, the steady clock does not.
+ * Simulates a suspension of the machine as clocks show it: the wall clock advances by
+ * its length, the monotonic clock does not.
  */
 import {vi} from 'vitest';
 
 /**
- * Lets time pass that the steady clock does not count.
+ * Advances the wall clock alone.
  *
- * @returns ends it, as a clock that is set right
+ * @returns restores the wall clock, as when it is corrected
  */
 export function suspend(ms: number): () => void {
   const now = Date.now.bind(Date);
--- a/test/support/test_fleet.ts
+++ b/test/support/test_fleet.ts
@@ -1,4 +1,4 @@
-/** A whole small fleet of real processes on loopback. */
+/** A complete small fleet of real processes on loopback. */
 import {generateKeyPairSync, KeyObject, createPrivateKey} from 'node:crypto';
 import {mkdtempSync, readFileSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -15,22 +15,22 @@
 import {reservePort} from './reserve_port';
 import {waitUntil} from './wait_until';
 
-/** From the sources or from below `build/`: fixtures are not copied there. */
+/** Relative to the working directory, since fixtures are not copied to `build/`. */
 const TLS_FIXTURES = path.resolve(process.cwd(), 'test/fixtures/tls');
 
-/** One host with the backend server beside it. */
+/** One host process with its backend server. */
 interface HostPlan {
   readonly hostId: string;
   readonly zone?: string;
   readonly domain: string;
   readonly kind: 'model' | 'service';
   readonly name: string;
-  /** The stand-in runs as a process of its own, started by the caller. */
+  /** The caller starts the backend server, as a process of its own. */
   readonly hasOwnStandIn?: boolean;
   readonly engine?: Partial<Parameters<typeof EngineStandIn.create>[0]>;
 }
 
-/** What to start. */
+/** Processes of the fleet and their settings. */
 interface TestFleetOptions {
   readonly controls?: number;
   readonly entries?: number;
@@ -38,15 +38,15 @@
   readonly controlArgs?: readonly string[];
   readonly entryArgs?: readonly string[];
   readonly hostArgs?: readonly string[];
-  /** Every connection between processes goes through a relay that can be cut. */
+  /** Every connection between processes goes through a relay that can inject faults. */
   readonly hasRelays?: boolean;
-  /** All processes talk mutual TLS with the keys in test/fixtures. */
+  /** All processes use mutual TLS with the keys in test/fixtures. */
   readonly isTls?: boolean;
-  /** Called for each process that is up. */
+  /** Called for each process that has started. */
   readonly onProgress?: (text: string) => void;
 }
 
-/** Starts, breaks and stops a fleet. */
+/** Starts and stops the processes of a fleet. */
 export class TestFleet {
   readonly folder = mkdtempSync(path.join(tmpdir(), 'whinreel-'));
   readonly controls = new Map<string, ManagedProcess>();
@@ -103,7 +103,7 @@
     return this.client;
   }
 
-  /** Base address for callers at an entry. */
+  /** Returns the base URL of an entry for callers. */
   getEntryUrl(entryId = 'entry-1'): string {
     return `http://127.0.0.1:${this.findEntry(entryId).ready['port']}`;
   }
@@ -146,7 +146,7 @@
     return {answer, signed};
   }
 
-  /** Waits until the status fits. */
+  /** Waits until the status fulfils a condition. */
   waitForStatus(
     what: string,
     fits: (status: FleetStatus) => boolean,
@@ -159,7 +159,7 @@
     });
   }
 
-  /** Waits until this many groups serve. */
+  /** Waits until exactly this many groups serve. */
   waitForServing(count: number): Promise<FleetStatus> {
     return this.waitForStatus(
       `${count} groups serve`,
@@ -167,7 +167,7 @@
     );
   }
 
-  /** Waits until every entry may take work. */
+  /** Waits until every entry reports that it is ready. */
   async waitForReady(): Promise<void> {
     for (const entryId of this.entries.keys()) {
       await waitUntil(`${entryId} is ready`, async () => {
@@ -200,7 +200,7 @@
     this.options.onProgress?.(name);
   }
 
-  /** Where one process reaches each control process. */
+  /** Lists the addresses at which one process reaches each control process. */
   private async listControlAddresses(
     from: string,
   ): Promise<Map<string, string>> {
@@ -294,7 +294,7 @@
     this.options.onProgress?.(hostId);
   }
 
-  /** Starts a host process again beside its living backend server. */
+  /** Restarts a host process, while its backend server keeps running. */
   async restartHost(hostId: string): Promise<void> {
     const plan = this.options.hosts.find(host => host.hostId === hostId);
     if (plan) {
@@ -302,7 +302,7 @@
     }
   }
 
-  /** Ends everything that was started, whatever state it is in. */
+  /** Kills all processes, including paused ones, and deletes the data folder. */
   async close(): Promise<void> {
     this.client?.close();
     const processes = [this.entries, this.hosts, this.controls].flatMap(map => [
--- a/test/support/wait_until.ts
+++ b/test/support/wait_until.ts
@@ -1,7 +1,7 @@
 const POLL_MS = 20;
 const DEFAULT_TIMEOUT_MS = 30_000;
 
-/** Polls until a condition holds; fails with its name when it does not. */
+/** Polls until a condition holds; after the timeout, fails with its name and its last error. */
 export async function waitUntil<T>(
   what: string | (() => string),
   probe: () => T | undefined | false | Promise<T | undefined | false>,
--- a/test/support/weight_store.ts
+++ b/test/support/weight_store.ts
@@ -1,13 +1,13 @@
-/** The weight store of the fleet model: loads begin at a limited rate and slow each other down. */
+/** The weight store of the simulated fleet: loads start at a limited rate and slow each other down. */
 import {EngineProfile} from '../../src/protocol/engine_profile';
 
-/** Part of the loads that run at full speed up to which second copies may begin, as control has it. */
+/** Fraction of the full-speed loads up to which second copies may start, as in control. */
 const SECOND_COPY_SHARE = 0.5;
 const MS_PER_SECOND = 1_000;
 
-/** Counts the loads under way. */
+/** Tracks the running loads. */
 export class WeightStore {
-  /** Loads that began. */
+  /** Number of loads started so far. */
   loadCount = 0;
   private running: Array<{endsAt: number; isSecondCopy: boolean}> = [];
   private tokens = 0;
@@ -15,7 +15,7 @@
   private constructor(private readonly profile: EngineProfile) {}
 
   /**
-   * Creates a store from which nobody loads.
+   * Creates a store without running loads.
    *
    * @example
    * const loads = StoreLoads.create(profile);
@@ -24,7 +24,7 @@
     return new WeightStore(profile);
   }
 
-  /** Lets time pass. */
+  /** Adds start tokens for the time that passed and removes finished loads. */
   advance(now: number, passedMs: number): void {
     const {loadsPerSecond} = this.profile;
     const added = (loadsPerSecond * passedMs) / MS_PER_SECOND;
@@ -37,12 +37,12 @@
     this.loadCount = 0;
   }
 
-  /** How much slower than alone a load runs now. */
+  /** Factor by which a load takes longer now than alone. */
   get slowdown(): number {
     return Math.max(1, this.running.length / this.profile.concurrentLoads);
   }
 
-  /** Begins a load; false when it must wait. */
+  /** Starts a load; false when it must wait. */
   startLoad(isSecondCopy: boolean, loadMs: number, now: number): boolean {
     const {concurrentLoads} = this.profile;
     const isFull = isSecondCopy
