--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -59,7 +59,7 @@
    * Simulates the events and returns the coverage of the demand.
    *
    * @example
-   * const {covered} = EngineFleet.play({profile, domains: {d: 11}, demand: {big: 1.8}, events, lengthMs, random});
+   * const {covered} = EngineFleet.run({profile, domains: {d: 11}, demand: {big: 1.8}, events, lengthMs, random});
    */
   static run(options: EngineFleetOptions): EngineFleetResult {
     const fleet = new EngineFleet(options);
@@ -71,12 +71,12 @@
   /** Plans without faults until the first groups are open, then gives every host a copy of each model. */
   private prepare(): void {
     const {domains, profile} = this.options;
-    const [first, ...others] = profile.models.map(({name}) => name);
+    const [first, ...rest] = profile.models.map(({name}) => name);
     for (const [domain, count] of Object.entries(domains)) {
       for (let number = 0; number < count; number += 1) {
         const host = this.addHost(domain);
         host.loadedModel = first;
-        host.stagedModels = others.slice(-profile.keptModels);
+        host.stagedModels = rest.slice(-profile.keptModels);
       }
     }
     for (let step = 0; step < WARMUP_STEPS; step += 1) {
@@ -85,7 +85,7 @@
       this.plan();
     }
     for (const host of this.hosts.values()) {
-      host.stagedModels = [first, ...others].filter(
+      host.stagedModels = [first, ...rest].filter(
         name => name !== host.loadedModel,
       );
     }
@@ -268,10 +268,9 @@
     if (!host || !model || host.silentSince !== undefined) {
       return;
     }
-    const isInGroup = group !== undefined && host.isMemberOf(group);
+    const isMember = group !== undefined && host.isMemberOf(group);
     if (kind === 'join' || kind === 'stage') {
-      const isDone =
-        kind === 'join' && (isInGroup || (isParking && host.group));
+      const isDone = kind === 'join' && (isMember || (isParking && host.group));
       if (isDone || host.isBusy(kind) || !this.canLoad(order, model.loadMs)) {
         return;
       }
@@ -281,7 +280,7 @@
       } else if (group) {
         host.join(group, model, this.now, slowdown);
       }
-    } else if (isInGroup) {
+    } else if (isMember) {
       const handlers = {
         open: () => host.open(this.now),
         close: () => host.close(),
@@ -326,10 +325,8 @@
     const [head] = hosts;
     const isOpen = head.isMemberOf(group) && head.group?.state === 'open';
     const isWhole = hosts.every(host => host.silentSince === undefined);
-    const isCrossDomain = new Set(hosts.map(host => host.domain)).size > 1;
-    return isOpen && isWhole
-      ? 1 / (isCrossDomain ? CROSS_DOMAIN_SLOWDOWN : 1)
-      : 0;
+    const isSpread = new Set(hosts.map(host => host.domain)).size > 1;
+    return isOpen && isWhole ? 1 / (isSpread ? CROSS_DOMAIN_SLOWDOWN : 1) : 0;
   }
 
   private recordStates(): void {
