--- a/bench/baseline_policies.ts
+++ b/bench/baseline_policies.ts
@@ -30,7 +30,7 @@
     if (replacement) {
       return replacement;
     }
-    const canMove = context.free
+    const canRebalance = context.free
       .listDomains()
       .filter(domain => domain !== group.domain)
       .some(
@@ -39,7 +39,7 @@
           group.members.length,
       );
     const {id: groupId, epoch} = group;
-    return canMove
+    return canRebalance
       ? {type: 'remove-group', groupId, epoch, reason: 'moves'}
       : undefined;
   }),
--- a/bench/run_containment.ts
+++ b/bench/run_containment.ts
@@ -76,21 +76,17 @@
 
 function formatResults(results: readonly CrashFleetResult[]): string {
   const ended = results.flatMap(
-    ({crashesByPoisonRequest: endedByMarked}) => endedByMarked,
-  );
-  const known = results.flatMap(
-    ({propagationMs: knownAfterMs}) => knownAfterMs,
-  );
-  const delays = results.flatMap(
-    ({retryDelaysMs: repeatDelaysMs}) => repeatDelaysMs,
+    ({crashesByPoisonRequest}) => crashesByPoisonRequest,
   );
+  const known = results.flatMap(({propagationMs}) => propagationMs);
+  const delays = results.flatMap(({retryDelaysMs}) => retryDelaysMs);
   const count = (read: (result: CrashFleetResult) => number) =>
     results.reduce((sum, result) => sum + read(result), 0);
   return [
     `ended ${findQuantile(ended, 0.5)} (median) ${Math.max(0, ...ended)} (most)`,
-    `sent when known ${count(({sentAfterVerdict: sentAfterKnown}) => sentAfterKnown)}`,
+    `sent when known ${count(({sentAfterVerdict}) => sentAfterVerdict)}`,
     `known after ${Math.round(Math.max(0, ...known))} ms (most)`,
-    `healthy refused ${count(({healthyRejected: healthyRefused}) => healthyRefused)} of ${count(({healthy}) => healthy)}`,
+    `healthy refused ${count(({healthyRejected}) => healthyRejected)} of ${count(({healthy}) => healthy)}`,
     `repeat after ${Math.round(findQuantile(delays, 0.5))} ms (median) ${Math.round(findQuantile(delays, 0.95))} ms (95 in 100)`,
   ].join('; ');
 }
--- a/src/common/shutdown_schedule.ts
+++ b/src/common/shutdown_schedule.ts
@@ -61,8 +61,10 @@
 
   /** Whether all callers that check health have noticed the shutdown. */
   isNoticePeriodOver(now: number): boolean {
-    const {noticePeriodMs: noticeMs = NOTICE_PERIOD_MS} = this.options;
-    return this.startedAt !== undefined && now - this.startedAt >= noticeMs;
+    const {noticePeriodMs = NOTICE_PERIOD_MS} = this.options;
+    return (
+      this.startedAt !== undefined && now - this.startedAt >= noticePeriodMs
+    );
   }
 
   /** Whether requests still in progress must be abandoned. */
--- a/src/control/control_connections.ts
+++ b/src/control/control_connections.ts
@@ -77,7 +77,7 @@
   }
 
   /** Returns when the process with this identity last sent a message; undefined if it never did. */
-  findHeardAt(identity: string): number | undefined {
+  findLastActivityAt(identity: string): number | undefined {
     return this.lastMessageAt.get(identity);
   }
 
--- a/src/control/quorum_manager.ts
+++ b/src/control/quorum_manager.ts
@@ -29,7 +29,7 @@
   readonly disk: ControlDataFolder;
   readonly connections: Pick<
     ControlConnections,
-    'add' | 'send' | 'listIdentities' | 'findHeardAt'
+    'add' | 'send' | 'listIdentities' | 'findLastActivityAt'
   >;
   readonly clock: Clock;
   readonly timers?: Timers;
@@ -233,7 +233,7 @@
       return connected !== identity;
     }
     const heardAt =
-      this.options.connections.findHeardAt(identity) ?? this.startedAt;
+      this.options.connections.findLastActivityAt(identity) ?? this.startedAt;
     return now - heardAt > REPLACE_AFTER_MS;
   }
 }
--- a/src/control/quorum_member.ts
+++ b/src/control/quorum_member.ts
@@ -21,7 +21,7 @@
   readonly disk: ControlDataFolder;
   readonly connections: Pick<
     ControlConnections,
-    'add' | 'send' | 'listIdentities' | 'findHeardAt'
+    'add' | 'send' | 'listIdentities' | 'findLastActivityAt'
   >;
   readonly clock: Clock;
   readonly timers?: Timers;
--- a/src/coordination/agreement/decide_voter_change.ts
+++ b/src/coordination/agreement/decide_voter_change.ts
@@ -24,7 +24,7 @@
  * unresponsive voter is replaced.
  *
  * @example
- * const change = decideVoterChange({voters, candidates, target: 5, isSilent});
+ * const change = decideVoterChange({voters, candidates, target: 5, isUnresponsive});
  */
 export function decideVoterChange(
   input: VoterChangeInput,
--- a/src/entry/attempt_callbacks.ts
+++ b/src/entry/attempt_callbacks.ts
@@ -9,11 +9,11 @@
   /** Call `returnCredit` once the bytes are written; the host may then send more. */
   readonly onData: (bytes: Uint8Array, returnCredit: () => void) => void;
   /** Called exactly once, after all others. */
-  readonly onEnd: (end: AttemptEnd) => void;
+  readonly onEnd: (end: AttemptOutcome) => void;
 }
 
 /** How an attempt ended, as far as the entry knows. */
-interface AttemptEnd {
+interface AttemptOutcome {
   readonly outcome: RequestOutcome;
   readonly reason: string;
   readonly retryAfterMs?: number;
--- a/src/entry/request_runner.ts
+++ b/src/entry/request_runner.ts
@@ -29,7 +29,7 @@
   readonly random: () => number;
 }
 
-type AttemptEnd = Parameters<AttemptCallbacks['onEnd']>[0];
+type AttemptOutcome = Parameters<AttemptCallbacks['onEnd']>[0];
 
 interface Candidate {
   readonly groupId: string;
@@ -68,7 +68,7 @@
   ): Promise<RequestResult> {
     const {clock} = this.options;
     const tried = new Set<string>();
-    let worstEnd: AttemptEnd = {
+    let worstEnd: AttemptOutcome = {
       outcome: 'not-run',
       reason: 'no replica serves it now',
     };
@@ -120,7 +120,7 @@
     response: CallerResponse,
     candidate: Candidate,
     attemptId: string,
-  ): Promise<AttemptEnd | Problem> {
+  ): Promise<AttemptOutcome | Problem> {
     const {claims} = this.options;
     if (request.isRepeatable) {
       const end = await this.dispatch(request, response, candidate, attemptId);
@@ -161,8 +161,8 @@
     response: CallerResponse,
     candidate: Candidate,
     attemptId: string,
-    end: AttemptEnd,
-  ): Promise<AttemptEnd> {
+    end: AttemptOutcome,
+  ): Promise<AttemptOutcome> {
     const shouldAskHost =
       end.isConnectionLost && !response.hasDelivered && !request.isRepeatable;
     if (!shouldAskHost) {
@@ -195,13 +195,13 @@
     response: CallerResponse,
     {group, connection}: Candidate,
     attemptId: string,
-  ): Promise<AttemptEnd> {
+  ): Promise<AttemptOutcome> {
     const msLeft = Math.max(0, request.deadline - this.options.clock.now());
     return new Promise(resolve => {
       let hasStarted = false;
       // Frames of an abandoned attempt may still arrive and are ignored.
       let isSettled = false;
-      const finish = (end: AttemptEnd) => {
+      const finish = (end: AttemptOutcome) => {
         isSettled = true;
         clearTimeout(timer);
         resolve(end);
@@ -303,7 +303,7 @@
 
   private failRequest(
     response: CallerResponse,
-    end: AttemptEnd,
+    end: AttemptOutcome,
     attempts: number,
   ): RequestResult {
     response.fail(describeEnd(end));
@@ -324,7 +324,10 @@
 }
 
 /** An attempt that may have run outweighs those that certainly did not. */
-function chooseWorse(worstEnd: AttemptEnd, end: AttemptEnd): AttemptEnd {
+function chooseWorse(
+  worstEnd: AttemptOutcome,
+  end: AttemptOutcome,
+): AttemptOutcome {
   const SEVERITY_ORDER: readonly RequestOutcome[] = [
     'not-run',
     'failed',
@@ -343,7 +346,7 @@
   unknown: 504,
 };
 
-function describeEnd({outcome, reason, retryAfterMs}: AttemptEnd): Problem {
+function describeEnd({outcome, reason, retryAfterMs}: AttemptOutcome): Problem {
   const isNotRun = outcome === 'not-run';
   return {
     status: STATUS_BY_OUTCOME[outcome],
--- a/src/gateway/gateway_server.ts
+++ b/src/gateway/gateway_server.ts
@@ -83,7 +83,7 @@
       gatewayId,
       clock,
       events,
-      withinMs: stopWithinMs,
+      timeoutMs: stopWithinMs,
       maxRetryAfterFraction: settings.dialect.maxRetryAfterFraction,
     });
     this.seeds = control;
@@ -194,7 +194,7 @@
   /** True while load balancers should send new connections to this gateway. */
   get isReady(): boolean {
     const hasTargets = this.balancer.listAddresses().size > 0;
-    return !this.shutdown.hasBegun && this.poller.isConfirmed() && hasTargets;
+    return !this.shutdown.hasStarted && this.poller.isConfirmed() && hasTargets;
   }
 
   /** Updates the seed addresses of the control plane after the settings changed. */
@@ -237,7 +237,7 @@
     const writer = ResponseWriter.create(
       response,
       dialect.requestIdHeader,
-      () => this.shutdown.hasBegun,
+      () => this.shutdown.hasStarted,
     );
     this.openRequests += 1;
     response.once('close', () => (this.openRequests -= 1));
--- a/src/gateway/gateway_shutdown.ts
+++ b/src/gateway/gateway_shutdown.ts
@@ -14,7 +14,7 @@
   readonly clock: Clock;
   readonly events: EventRing;
   /** From the signal until the process is killed, in milliseconds. */
-  readonly withinMs: number;
+  readonly timeoutMs: number;
   /** Fraction of a caller's remaining time up to which it honors a retry delay. */
   readonly maxRetryAfterFraction: number;
 }
@@ -38,8 +38,8 @@
   private refusedDuringStop = 0;
 
   private constructor(private readonly options: GatewayShutdownOptions) {
-    const {withinMs, clock} = options;
-    this.schedule = ShutdownSchedule.create({timeoutMs: withinMs});
+    const {timeoutMs, clock} = options;
+    this.schedule = ShutdownSchedule.create({timeoutMs});
     this.longestTimes = SlidingMaximum.create(clock);
   }
 
@@ -47,13 +47,13 @@
    * Creates the shutdown of a gateway that has not been told to stop.
    *
    * @example
-   * const shutdown = GatewayShutdown.create({gatewayId, clock, events, withinMs: 8000, maxRetryAfterFraction: 1 / 3});
+   * const shutdown = GatewayShutdown.create({gatewayId, clock, events, timeoutMs: 8000, maxRetryAfterFraction: 1 / 3});
    */
   static create(options: GatewayShutdownOptions): GatewayShutdown {
     return new GatewayShutdown(options);
   }
 
-  get hasBegun(): boolean {
+  get hasStarted(): boolean {
     return this.schedule.hasStarted;
   }
 
@@ -126,10 +126,10 @@
    * finished their requests and restarted. All others can use another gateway now.
    */
   private computeRetryAfterMs(request: RequestDuringStop): number {
-    const isNoticed = this.schedule.isNoticePeriodOver(
+    const isNoticePeriodOver = this.schedule.isNoticePeriodOver(
       this.options.clock.now(),
     );
-    const hasNoAlternative = isNoticed && request.isOnNewConnection;
+    const hasNoAlternative = isNoticePeriodOver && request.isOnNewConnection;
     const restartedInMs = this.findLongestMs(request) + this.startupMs;
     const delayMs = hasNoAlternative ? restartedInMs : RECONNECT_DELAY_MS;
     const maxMs = request.leftMs * this.options.maxRetryAfterFraction;
--- a/src/gateway/load_balancer.ts
+++ b/src/gateway/load_balancer.ts
@@ -331,10 +331,10 @@
     return !mayBeDenied && availability.isAvailable(incarnation);
   }
 
-  private avoid(incarnation: string, forMs: number): void {
+  private avoid(incarnation: string, durationMs: number): void {
     const state = this.states.get(incarnation);
     if (state) {
-      state.avoidUntil = this.clock.now() + forMs;
+      state.avoidUntil = this.clock.now() + durationMs;
     }
   }
 
--- a/src/host/group_member.ts
+++ b/src/host/group_member.ts
@@ -166,11 +166,11 @@
    * reported missing for that.
    */
   private hasResumedRecently(now: number): boolean {
-    const aheadMs = this.options.leaseClock.now() - now;
-    if (aheadMs - this.clockOffsetMs > HEARTBEAT_LEASE_MS) {
+    const clockOffsetMs = this.options.leaseClock.now() - now;
+    if (clockOffsetMs - this.clockOffsetMs > HEARTBEAT_LEASE_MS) {
       this.resumedAt = now;
     }
-    this.clockOffsetMs = aheadMs;
+    this.clockOffsetMs = clockOffsetMs;
     return now - this.resumedAt < HEARTBEAT_LEASE_MS;
   }
 
--- a/src/host/running_attempt.ts
+++ b/src/host/running_attempt.ts
@@ -12,7 +12,7 @@
 const EVENT_STREAM = 'text/event-stream';
 
 /** How an attempt ended. */
-interface AttemptEnd {
+interface AttemptOutcome {
   readonly outcome: RequestOutcome;
   readonly reason: string;
 }
@@ -32,12 +32,12 @@
 /** Runs one attempt and sends its response in frames, as far as the entry's credit allows. */
 export class RunningAttempt {
   /** Resolves once, after the last frame was sent. */
-  readonly ended: Promise<AttemptEnd>;
+  readonly ended: Promise<AttemptOutcome>;
   private readonly abort = new AbortController();
   private credit: number;
   private resumeSending: (() => void) | undefined;
   private sequence = 0;
-  private stopEnd: AttemptEnd | undefined;
+  private stopEnd: AttemptOutcome | undefined;
 
   private constructor(private readonly options: RunningAttemptOptions) {
     this.credit = options.dispatch.credit;
@@ -61,15 +61,15 @@
   }
 
   /** Stops the attempt; the first reason is kept. */
-  stop(end: AttemptEnd): void {
+  stop(end: AttemptOutcome): void {
     this.stopEnd ??= end;
     this.abort.abort();
     this.resumeSending?.();
   }
 
-  private async run(): Promise<AttemptEnd> {
+  private async run(): Promise<AttemptOutcome> {
     const {dispatch, send} = this.options;
-    let end: AttemptEnd;
+    let end: AttemptOutcome;
     try {
       end = await this.forward();
     } catch (error) {
@@ -99,7 +99,7 @@
     return end;
   }
 
-  private async forward(): Promise<AttemptEnd> {
+  private async forward(): Promise<AttemptOutcome> {
     const {dispatch, backend, backendUrl, epoch, send} = this.options;
     const {method, path, headers, body, stream} = dispatch;
     const answer = await backend.call({
--- a/src/state/suspect_table.ts
+++ b/src/state/suspect_table.ts
@@ -251,14 +251,14 @@
     }
     const {crashes, standing} = suspect;
     const own = new Set(crashes.map(({incarnation}) => incarnation));
-    const otherEnds = [...this.crashes].flatMap(([incarnation, end]) =>
+    const otherCrashTimes = [...this.crashes].flatMap(([incarnation, end]) =>
       end.explainedBy === undefined && !own.has(incarnation) ? [end.time] : [],
     );
     const isAmbiguous = this.hasOtherPossibleCause(name, suspect);
     const verdict = decideCrashVerdict({
       ownCrashes: crashes,
       now,
-      otherCrashTimes: otherEnds,
+      otherCrashTimes,
       isAmbiguous,
     });
     if (verdict === standing) {
--- a/test/control/partitioned_groups.test.ts
+++ b/test/control/partitioned_groups.test.ts
@@ -104,7 +104,7 @@
   const isStalled =
     now >= stalledFrom && (gateway === 0 || now > headSendsUntil + 250);
   const msAgo = Math.max(30, now - headSendsUntil);
-  const isHeard = !isStalled && msAgo < 600;
+  const isAlive = !isStalled && msAgo < 600;
   const report = {
     type: 'gateway-ask' as const,
     call: 1,
@@ -112,8 +112,8 @@
     rulesVersion: 0,
     tableTag: '',
     stalled: isStalled ? ['a'] : [],
-    answering: isHeard ? ['a'] : [],
-    answeringMsAgo: isHeard ? [msAgo] : [],
+    answering: isAlive ? ['a'] : [],
+    answeringMsAgo: isAlive ? [msAgo] : [],
     running: {a: 3},
     pressed: [],
     hasServed: true,
--- a/test/coordination/raft_node.test.ts
+++ b/test/coordination/raft_node.test.ts
@@ -88,7 +88,7 @@
         (steps, seed) => {
           const net = RaftNetwork.create(NODES, createRandom(seed));
           net.runUntilCommitted();
-          // RaftNet throws if a term has two leaders or a committed entry changes.
+          // RaftNetwork throws if a term has two leaders or a committed entry changes.
           steps.forEach((step, at) => applyStep(net, step, at));
 
           expect(net.runUntilCommitted()).toBe(true);
--- a/test/gateway/crash_containment_simulation.test.ts
+++ b/test/gateway/crash_containment_simulation.test.ts
@@ -37,19 +37,15 @@
     results.push(await runCrashFleet({...LOAD, ...changes, random}));
   }
   const ended = results
-    .flatMap(({crashesByPoisonRequest: endedByMarked}) => endedByMarked)
+    .flatMap(({crashesByPoisonRequest}) => crashesByPoisonRequest)
     .sort();
   return {
     ended,
     median: ended[Math.floor(ended.length / 2)],
     most: Math.max(0, ...ended),
-    sentAfterKnown: results.map(
-      ({sentAfterVerdict: sentAfterKnown}) => sentAfterKnown,
-    ),
-    knownAfterMs: results.flatMap(
-      ({propagationMs: knownAfterMs}) => knownAfterMs,
-    ),
-    refused: results.map(({healthyRejected: healthyRefused}) => healthyRefused),
+    sentAfterVerdict: results.map(({sentAfterVerdict}) => sentAfterVerdict),
+    propagationMs: results.flatMap(({propagationMs}) => propagationMs),
+    refused: results.map(({healthyRejected}) => healthyRejected),
   };
 }
 
@@ -57,12 +53,13 @@
 
 describe('a request that crashes backend servers', () => {
   test('crashes two in the median and three at most, and no other request is refused', async () => {
-    const {median, most, sentAfterKnown, knownAfterMs, refused} = await play();
+    const {median, most, sentAfterVerdict, propagationMs, refused} =
+      await play();
     expect(median).toBeLessThanOrEqual(MEDIAN_ENDED);
     expect(most).toBeLessThanOrEqual(MOST_ENDED);
-    expect(sentAfterKnown).toEqual(NONE);
-    expect(knownAfterMs.length).toBe(SEEDS.length);
-    expect(Math.max(...knownAfterMs)).toBeLessThan(KNOWN_WITHIN_MS);
+    expect(sentAfterVerdict).toEqual(NONE);
+    expect(propagationMs.length).toBe(SEEDS.length);
+    expect(Math.max(...propagationMs)).toBeLessThan(KNOWN_WITHIN_MS);
     expect(refused).toEqual(NONE);
   });
 
@@ -77,9 +74,9 @@
       {gateways: 36, servers: 30, perSecond: 300, newsMs: 300},
     ],
   ])('%s, crashes three at most', async (_name, changes) => {
-    const {most, sentAfterKnown, refused} = await play(changes);
+    const {most, sentAfterVerdict, refused} = await play(changes);
     expect(most).toBeLessThanOrEqual(MOST_ENDED);
-    expect(sentAfterKnown).toEqual(NONE);
+    expect(sentAfterVerdict).toEqual(NONE);
     expect(refused).toEqual(NONE);
   });
 
--- a/test/gateway/gateway_shutdown.test.ts
+++ b/test/gateway/gateway_shutdown.test.ts
@@ -4,14 +4,14 @@
 
 const ROUTE = {name: 'r', objectiveMs: 300};
 
-function create(withinMs = 8_000) {
+function create(timeoutMs = 8_000) {
   const clock = {time: 0, now: () => clock.time};
   const events = EventRing.create();
   const shutdown = GatewayShutdown.create({
     gatewayId: 'g',
     clock,
     events,
-    withinMs,
+    timeoutMs,
     maxRetryAfterFraction: 0.3,
   });
   shutdown.recordStarted(700);
--- a/test/gateway/load_balancer_herding.test.ts
+++ b/test/gateway/load_balancer_herding.test.ts
@@ -35,13 +35,13 @@
 
 function play(
   sizes: {gateways: number; heads: number},
-  opensAt: readonly number[] = [],
+  engineStartTimes: readonly number[] = [],
 ): BalancingResult[] {
   return SEEDS.map(seed =>
     runBalancingSimulation({
       ...CROWD,
       ...sizes,
-      engineStartTimes: opensAt,
+      engineStartTimes,
       random: createRandom(seed),
     }),
   );
@@ -65,8 +65,8 @@
   });
 
   test('are in time while one engine after the other opens', () => {
-    const opensAt = [3_000, 5_500, 8_000, 10_500, 13_000, 15_500];
-    const late = listLate(play({gateways: 36, heads: 15}, opensAt));
+    const engineStartTimes = [3_000, 5_500, 8_000, 10_500, 13_000, 15_500];
+    const late = listLate(play({gateways: 36, heads: 15}, engineStartTimes));
 
     expect(Math.max(...late)).toBeLessThan(0.01);
   });
--- a/test/gateway/rate_limited_backend.test.ts
+++ b/test/gateway/rate_limited_backend.test.ts
@@ -24,7 +24,7 @@
   await Promise.all(closers.splice(0).map(close => close()));
 });
 
-function countMost(times: readonly number[]): number {
+function countMaxPerWindow(times: readonly number[]): number {
   const counts = times.map(
     from => times.filter(at => at >= from && at < from + WINDOW_MS).length,
   );
@@ -82,7 +82,7 @@
     clearInterval(timer);
 
     const tolerated = PER_SECOND * 4 * TOLERATED_FACTOR + TOLERATED_REQUESTS;
-    expect(countMost(known())).toBeLessThanOrEqual(tolerated);
+    expect(countMaxPerWindow(known())).toBeLessThanOrEqual(tolerated);
     expect(known().length).toBeGreaterThan(0);
     await waitUntil('answers', async () => statuses.length === calls);
     expect(statuses.filter(status => status !== 200)).toEqual([]);
--- a/test/simulation/virtual_links.ts
+++ b/test/simulation/virtual_links.ts
@@ -76,7 +76,7 @@
     return [...this.links.values()].map(({station}) => station.identity);
   }
 
-  findHeardAt(identity: string): number | undefined {
+  findLastActivityAt(identity: string): number | undefined {
     return this.heardAt.get(identity);
   }
 
--- a/test/soak/soak_signals.ts
+++ b/test/soak/soak_signals.ts
@@ -22,7 +22,7 @@
 interface LimitedTime {
   readonly perSecond: number;
   readonly until: number;
-  firstNamedAt?: number;
+  firstAdvertisedAt?: number;
 }
 
 interface SoakSignalsOptions {
@@ -66,18 +66,18 @@
     if (!limited) {
       return {};
     }
-    limited.firstNamedAt ??= now;
+    limited.firstAdvertisedAt ??= now;
     return {'server-limit': limited.perSecond.toFixed(1)};
   }
 
   /** Headers of a refusal. */
   createRefusal(): Record<string, string> {
-    const isResting = this.options.random() < RESTING_SHARE;
+    const isBackingOff = this.options.random() < RESTING_SHARE;
     const restMs = REST_MS + this.options.random() * REST_SPREAD_MS;
     const seconds = (restMs / MS_PER_SECOND).toFixed(2);
     return {
       ...this.createHeaders(),
-      ...(isResting ? {'retry-after': seconds} : {}),
+      ...(isBackingOff ? {'retry-after': seconds} : {}),
     };
   }
 
@@ -95,15 +95,15 @@
   }
 
   private check(now: number): void {
-    const {perSecond, firstNamedAt = Infinity} = this.limited ?? {};
+    const {perSecond, firstAdvertisedAt = Infinity} = this.limited ?? {};
     if (
       perSecond === undefined ||
       this.isTold ||
-      now < firstNamedAt + KEPT_AFTER_MS
+      now < firstAdvertisedAt + KEPT_AFTER_MS
     ) {
       return;
     }
-    const since = firstNamedAt + HEARD_AFTER_MS;
+    const since = firstAdvertisedAt + HEARD_AFTER_MS;
     const count = this.reached.filter(at => at > since).length;
     const inWindow = (perSecond * WINDOW_MS) / MS_PER_SECOND;
     const borne = inWindow * BORNE_PART + BORNE_REQUESTS;
--- a/test/stand_ins/engine_stand_in.ts
+++ b/test/stand_ins/engine_stand_in.ts
@@ -201,14 +201,18 @@
     this.countRun(request, text);
     this.recordCacheEvent(JSON.stringify(body.messages ?? ''));
     this.running += 1;
-    let isGone = false;
-    response.on('close', () => (isGone = !response.writableFinished));
+    let isDisconnected = false;
+    response.on('close', () => (isDisconnected = !response.writableFinished));
     await this.hold;
     await sleep(this.firstTokenMs);
     const count = body.max_tokens ?? DEFAULT_TOKENS;
     if (body.stream) {
       const resumeAfter = Number(request.headers['whinreel-resume-after'] ?? 0);
-      await this.stream(response, {from: resumeAfter, count}, () => isGone);
+      await this.stream(
+        response,
+        {from: resumeAfter, count},
+        () => isDisconnected,
+      );
     } else {
       const content = Array.from({length: count}, (_, at) => `t${at}`).join(
         ' ',
@@ -218,19 +222,19 @@
       });
     }
     this.running -= 1;
-    this.cancelled += isGone ? 1 : 0;
+    this.cancelled += isDisconnected ? 1 : 0;
   }
 
   private async stream(
     response: http.ServerResponse,
     {from, count}: {from: number; count: number},
-    isGone: () => boolean,
+    isDisconnected: () => boolean,
   ): Promise<void> {
     response.writeHead(200, {
       'content-type': 'text/event-stream',
       ...(from > 0 ? {'whinreel-resumed-from': String(from)} : {}),
     });
-    for (let at = from; at < count && !isGone(); at += 1) {
+    for (let at = from; at < count && !isDisconnected(); at += 1) {
       if (at === this.breakAfterTokens) {
         response.end();
         return;
--- a/test/support/compute_group_demand.ts
+++ b/test/support/compute_group_demand.ts
@@ -4,7 +4,7 @@
  * Computes the demand for each model in groups at a time of the simulation.
  *
  * @example
- * const wanted = listGroupsWanted(options, 6_000);
+ * const demand = computeGroupDemand(options, 6_000);
  */
 export function computeGroupDemand(
   {profile, demand, burst}: EngineFleetOptions,
--- a/test/support/crash_fleet.ts
+++ b/test/support/crash_fleet.ts
@@ -71,13 +71,8 @@
   }
 
   async run(): Promise<CrashFleetResult> {
-    const {
-      durationMs: forMs,
-      losses,
-      marked,
-      killEveryMs,
-      leaderLostEveryMs,
-    } = this.options;
+    const {durationMs, losses, marked, killEveryMs, leaderLostEveryMs} =
+      this.options;
     this.repeatEvery(killEveryMs, () => this.killGateway());
     this.repeatEvery(leaderLostEveryMs, () => this.control.stopLeader());
     this.scheduleArrival();
@@ -88,13 +83,13 @@
     for (let at = 0; at < marked; at += 1) {
       this.time.after(1_000 + at * 300, () => this.repeatPoisonRequest(at));
     }
-    await this.time.runUntil(forMs, () => false);
+    await this.time.runUntil(durationMs, () => false);
     this.gateways.forEach(({containment}) => containment.close());
-    const knownAfterMs = this.control.listPropagationMs();
+    const propagationMs = this.control.listPropagationMs();
     return {
       crashesByPoisonRequest: this.crashesByRequest,
       sentAfterVerdict: this.sentAfterVerdict,
-      propagationMs: knownAfterMs,
+      propagationMs,
       healthy: this.healthyCount,
       healthyRejected: this.healthyRejected,
       retryDelaysMs: this.retryDelaysMs,
@@ -151,8 +146,8 @@
 
   private repeatPoisonRequest(marked: number): void {
     this.startRequest(`marked ${marked}`, marked);
-    const {random, poisonRetryMs: repeatEveryMs} = this.options;
-    const afterMs = repeatEveryMs * (0.5 + random());
+    const {random, poisonRetryMs} = this.options;
+    const afterMs = poisonRetryMs * (0.5 + random());
     this.time.after(afterMs, () => this.repeatPoisonRequest(marked));
   }
 
--- a/test/support/run_balancing_simulation.ts
+++ b/test/support/run_balancing_simulation.ts
@@ -76,7 +76,7 @@
   private readonly targets = new Map<string, GatewayTarget>();
   private readonly counts = {
     streams: 0,
-    lateStart: 0,
+    lateFirstEvents: 0,
     late: 0,
     near: 0,
     spread: 0,
@@ -95,18 +95,15 @@
   }
 
   run(): BalancingResult {
-    const {
-      lengthMs,
-      tellEveryMs,
-      engineStartTimes: opensAt,
-      random,
-    } = this.options;
+    const {lengthMs, tellEveryMs, engineStartTimes, random} = this.options;
     this.balancers.forEach((_, at) => {
       this.scheduleAt(random() * tellEveryMs, () => this.exchange(at));
       this.scheduleAt(this.drawArrivalGap(), () => this.arrive(at));
     });
     this.scheduleAt(1_000, () => this.recordLoad());
-    (opensAt ?? []).forEach(at => this.scheduleAt(at, () => this.addEngine()));
+    (engineStartTimes ?? []).forEach(at =>
+      this.scheduleAt(at, () => this.addEngine()),
+    );
     while (this.clock.time < lengthMs) {
       const batchEnd = this.findNextBatchEnd();
       const next = this.schedule[0];
@@ -119,10 +116,10 @@
         next.act();
       }
     }
-    const {streams, lateStart, late, near, spread, samples} = this.counts;
+    const {streams, lateFirstEvents, late, near, spread, samples} = this.counts;
     return {
       streams,
-      lateFirstEventFraction: lateStart / streams,
+      lateFirstEventFraction: lateFirstEvents / streams,
       lateFraction: late / streams,
       sameZoneFraction: near / streams,
       loadDeviation: spread / samples,
@@ -233,7 +230,7 @@
           isFirst = false;
           balancer.recordResponseStart(incarnation, promptTokens);
           isLate = now - sentAt > objectiveMs;
-          this.counts.lateStart += isLate ? 1 : 0;
+          this.counts.lateFirstEvents += isLate ? 1 : 0;
         }
         isLate ||= pause > pauseMs;
       },
--- a/test/support/weight_store.ts
+++ b/test/support/weight_store.ts
@@ -18,7 +18,7 @@
    * Creates a store without running loads.
    *
    * @example
-   * const loads = StoreLoads.create(profile);
+   * const store = WeightStore.create(profile);
    */
   static create(profile: EngineProfile): WeightStore {
     return new WeightStore(profile);
