--- a/src/common/shutdown_schedule.ts
+++ b/src/common/shutdown_schedule.ts
@@ -61,10 +61,8 @@
 
   /** Whether all callers that check health have noticed the shutdown. */
   isNoticePeriodOver(now: number): boolean {
-    const {noticePeriodMs = NOTICE_PERIOD_MS} = this.options;
-    return (
-      this.startedAt !== undefined && now - this.startedAt >= noticePeriodMs
-    );
+    const {noticePeriodMs: periodMs = NOTICE_PERIOD_MS} = this.options;
+    return this.startedAt !== undefined && now - this.startedAt >= periodMs;
   }
 
   /** Whether requests still in progress must be abandoned. */
--- a/src/gateway/backend_rate_limits.ts
+++ b/src/gateway/backend_rate_limits.ts
@@ -99,10 +99,8 @@
   /** False if a permit can't be obtained now. */
   isAvailable(incarnation: string): boolean {
     const now = this.options.clock.now();
-    const canRequest = this.pacers.get(incarnation)?.canRequest(now) ?? true;
-    return (
-      !this.isLimited(incarnation) || (canRequest && now >= this.pausedUntil)
-    );
+    const canAsk = this.pacers.get(incarnation)?.canRequest(now) ?? true;
+    return !this.isLimited(incarnation) || (canAsk && now >= this.pausedUntil);
   }
 
   /** Requests a permit to send one request at once; undefined if it is denied. */
--- a/test/coordination/share_adjuster.test.ts
+++ b/test/coordination/share_adjuster.test.ts
@@ -25,7 +25,7 @@
 const STEP_MS = 40;
 
 interface Phase {
-  readonly forMs: number;
+  readonly durationMs: number;
   /** Demand for each model, in groups at capacity. */
   readonly big: number;
   readonly low: number;
@@ -38,8 +38,8 @@
   const random = createRandom(1);
   const changes: string[] = [];
   let now = 0;
-  for (const {forMs, big, low, domains = DOMAINS} of phases) {
-    for (const until = now + forMs; now < until; now += STEP_MS) {
+  for (const {durationMs, big, low, domains = DOMAINS} of phases) {
+    for (const until = now + durationMs; now < until; now += STEP_MS) {
       const factor = 1 + noise * (random() - 0.5);
       const {profile} = adjuster.update({
         profile: PROFILE_12_6,
@@ -73,19 +73,19 @@
 
 describe('the shares of the hosts', () => {
   test('stay as configured while they meet the demand', () => {
-    const changes = replay([{forMs: 60_000, big: 1.2, low: 2.4}], 0.4);
+    const changes = replay([{durationMs: 60_000, big: 1.2, low: 2.4}], 0.4);
     expect(changes).toEqual([{at: 0, counts: '3 and 6'}]);
   });
 
   test('stay as configured without demand', () => {
-    const changes = replay([{forMs: 20_000, big: 0, low: 0}]);
+    const changes = replay([{durationMs: 20_000, big: 0, low: 0}]);
     expect(changes).toEqual([{at: 0, counts: '3 and 6'}]);
   });
 
   test('follow a burst within two seconds', () => {
     const [, change] = replay([
-      {forMs: 4_000, ...NORMAL},
-      {forMs: 14_000, ...BURST},
+      {durationMs: 4_000, ...NORMAL},
+      {durationMs: 14_000, ...BURST},
     ]);
     expect(change.counts).toBe('2 and 8');
     expect(change.at).toBeLessThan(6_000);
@@ -93,14 +93,14 @@
 
   test('do not oscillate under repeated bursts', () => {
     const phases = Array.from({length: 6}, () => [
-      {forMs: 4_000, ...NORMAL},
-      {forMs: 3_000, ...BURST},
+      {durationMs: 4_000, ...NORMAL},
+      {durationMs: 3_000, ...BURST},
     ]);
     expect(replay(phases.flat(), 0.4).length).toBeLessThanOrEqual(2);
   });
 
   test('leave each model two groups, so that the next loss leaves it one', () => {
-    const changes = replay([{forMs: 60_000, big: 0.001, low: 12}]);
+    const changes = replay([{durationMs: 60_000, big: 0.001, low: 12}]);
     expect(changes.at(-1)?.counts).toBe('2 and 8');
   });
 
@@ -183,8 +183,8 @@
   test('moves the hosts back', () => {
     const changes = replay(
       [
-        {forMs: 20_000, ...BURST},
-        {forMs: 20_000, big: 2.6, low: 1.5},
+        {durationMs: 20_000, ...BURST},
+        {durationMs: 20_000, big: 2.6, low: 1.5},
       ],
       0.2,
     );
--- a/test/gateway/demand_meter.test.ts
+++ b/test/gateway/demand_meter.test.ts
@@ -5,8 +5,8 @@
 function create() {
   const clock = {time: 0, now: () => clock.time};
   const meter = DemandMeter.create(clock);
-  const arrive = (perSecond: number, forMs: number) => {
-    const until = clock.time + forMs;
+  const arrive = (perSecond: number, durationMs: number) => {
+    const until = clock.time + durationMs;
     for (; clock.time < until; clock.time += 1_000 / perSecond) {
       meter.recordArrival({model: 'big', promptTokens: 500}, PROFILE);
     }
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -5,7 +5,7 @@
   const [first = '1', count = '1', seconds = '20'] = process.argv.slice(2);
   for (let at = 0; at < Number(count); at += 1) {
     const seed = Number(first) + at;
-    const run = await SoakRun.play({seed, forMs: Number(seconds) * 1_000});
+    const run = await SoakRun.play({seed, durationMs: Number(seconds) * 1_000});
     process.stdout.write(`${JSON.stringify(run.describe())}\n`);
     process.exitCode = run.broken.length > 0 ? 1 : process.exitCode;
   }
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -11,7 +11,7 @@
 test(
   'the programs keep their promises under faults of machines, links, signals and settings',
   async () => {
-    const run = await SoakRun.play({seed: 7, forMs: FAULTS_MS});
+    const run = await SoakRun.play({seed: 7, durationMs: FAULTS_MS});
 
     const {broken, answered, acknowledged, faults} = run.describe();
     expect(broken).toEqual([]);
@@ -25,7 +25,7 @@
 test.each(failedSeeds)(
   'seed $seed breaks nothing any more: $cause',
   async ({seed}) => {
-    const run = await SoakRun.play({seed, forMs: SHORT_MS});
+    const run = await SoakRun.play({seed, durationMs: SHORT_MS});
 
     expect(run.broken).toEqual([]);
   },
--- a/test/soak/soak_faults.ts
+++ b/test/soak/soak_faults.ts
@@ -50,8 +50,8 @@
   }
 
   /** Injects faults for a while; all are over when it resolves. */
-  async inject(forMs: number): Promise<void> {
-    const timer = setTimeout(() => (this.isOver = true), forMs);
+  async inject(durationMs: number): Promise<void> {
+    const timer = setTimeout(() => (this.isOver = true), durationMs);
     const lists: Array<(random: Random) => Faults> = [
       random => this.listControlFaults(random),
       random => this.listEntryFaults(random),
@@ -96,18 +96,20 @@
   private listControlFaults(random: Random): Faults {
     const {controls, relays} = this.options.fleet;
     const machine = pick(controls, random);
-    const forMs = drawMs(random);
+    const durationMs = drawMs(random);
     const {ip} = machine.options;
     const links = [...relays.select('*', ip), ...relays.select(ip, '*')];
     const between = controls.flatMap(({options}) =>
       relays.select(options.ip, '*'),
     );
     return this.mapRepairs({
-      ...listMachineFaults('control', machine, forMs),
+      ...listMachineFaults('control', machine, durationMs),
       [`disk of ${ip} lost`]: () => machine.restartKilled(0, true),
-      [`${ip} cut off`]: () => hold(links, forMs, link => link.break()),
+      [`${ip} cut off`]: () => hold(links, durationMs, link => link.break()),
       [`${ip} not heard`]: () =>
-        hold(relays.select(ip, '*'), forMs, link => link.pause(['forward'])),
+        hold(relays.select(ip, '*'), durationMs, link =>
+          link.pause(['forward']),
+        ),
       'control links go silent': async () =>
         between.forEach(link => link.pauseOpenForever()),
       'control stopped by turns': async () => {
@@ -141,7 +143,10 @@
     const toBackend = [fleet.findBackendLink(name)];
     const toControl = fleet.relays.select(entry, control);
     const ofEntry = fleet.relays.select(entry, '*');
-    const times = {forMs: drawMs(random), delayMs: random() * MAX_DELAY_MS};
+    const times = {
+      durationMs: drawMs(random),
+      delayMs: random() * MAX_DELAY_MS,
+    };
     return {
       ...listRelayFaults(`${entry} to ${control}`, toControl, times),
       ...listRelayFaults(`${entry} to control`, ofEntry, times),
@@ -197,12 +202,12 @@
 function listMachineFaults(
   role: string,
   machine: SoakMachine,
-  forMs: number,
+  durationMs: number,
 ): Faults {
   const {ip} = machine.options;
   return {
-    [`${role} ${ip} killed`]: () => machine.restartKilled(forMs, false),
-    [`${role} ${ip} frozen`]: () => machine.freeze(forMs),
+    [`${role} ${ip} killed`]: () => machine.restartKilled(durationMs, false),
+    [`${role} ${ip} frozen`]: () => machine.freeze(durationMs),
     [`${role} ${ip} stopped`]: () => machine.restartStopped(),
   };
 }
@@ -210,15 +215,16 @@
 function listRelayFaults(
   what: string,
   links: readonly Relay[],
-  {forMs, delayMs}: {forMs: number; delayMs: number},
+  {durationMs, delayMs}: {durationMs: number; delayMs: number},
 ): Faults {
   return {
-    [`${what} delayed`]: () => hold(links, forMs, link => link.delay(delayMs)),
+    [`${what} delayed`]: () =>
+      hold(links, durationMs, link => link.delay(delayMs)),
     [`${what} reset`]: async () => links.forEach(link => link.reset()),
     [`${what} cut there`]: () =>
-      hold(links, forMs, link => link.pause(['forward'])),
+      hold(links, durationMs, link => link.pause(['forward'])),
     [`${what} cut back`]: () =>
-      hold(links, forMs, link => link.pause(['back'])),
+      hold(links, durationMs, link => link.pause(['back'])),
     [`${what} silent for good`]: async () =>
       links.forEach(link => link.pauseOpenForever()),
   };
@@ -226,11 +232,11 @@
 
 async function hold(
   links: readonly Relay[],
-  forMs: number,
+  durationMs: number,
   disturb: (link: Relay) => void,
 ): Promise<void> {
   links.forEach(disturb);
-  await sleep(forMs);
+  await sleep(durationMs);
   links.forEach(link => link.restore());
 }
 
--- a/test/soak/soak_machine.ts
+++ b/test/soak/soak_machine.ts
@@ -101,10 +101,10 @@
   }
 
   /** Freezes it for a while. */
-  freeze(forMs: number): Promise<void> {
+  freeze(durationMs: number): Promise<void> {
     return this.harm(async () => {
       this.process?.pause();
-      await new Promise(resolve => setTimeout(resolve, forMs));
+      await new Promise(resolve => setTimeout(resolve, durationMs));
       this.process?.resume();
     });
   }
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -25,7 +25,7 @@
 interface SoakRunOptions {
   readonly seed: number;
   /** How long faults come, in milliseconds. */
-  readonly forMs: number;
+  readonly durationMs: number;
 }
 
 /** A fleet, its callers and its operators. */
@@ -99,7 +99,7 @@
     await this.waitForAnswers('at the start');
     callers.start();
     operator.start();
-    await faults.inject(this.options.forMs);
+    await faults.inject(this.options.durationMs);
     await Promise.all([callers.stop(), operator.stop()]);
     await this.waitForAnswers('after all faults');
     for (const control of fleet.controls) {
--- a/test/support/draw_losses.ts
+++ b/test/support/draw_losses.ts
@@ -7,7 +7,7 @@
 /** Hosts are added a little less often than they are lost. */
 const ADDED_INTERVAL_FACTOR = 1.15;
 const PARTITION_CHANCE = 0.5;
-const PARTITION = {hosts: 4, forMs: 5_000};
+const PARTITION = {hosts: 4, durationMs: 5_000};
 
 interface LossOptions {
   readonly domains: readonly string[];
--- a/test/support/engine_fleet.ts
+++ b/test/support/engine_fleet.ts
@@ -137,7 +137,7 @@
     for (let count = 0; count < event.hosts; count += 1) {
       const [cut] = present.splice(Math.floor(random() * present.length), 1);
       cut.silentSince = this.now;
-      this.returnsAt.set(cut.id, this.now + event.forMs);
+      this.returnsAt.set(cut.id, this.now + event.durationMs);
     }
   }
 
--- a/test/support/fleet_event.ts
+++ b/test/support/fleet_event.ts
@@ -11,7 +11,7 @@
       /** Partitions some hosts from control for a while. */
       readonly kind: 'cut';
       readonly hosts: number;
-      readonly forMs: number;
+      readonly durationMs: number;
     }
   | {
       readonly at: number;
