--- a/src/coordination/groups/compute_spares.ts
+++ b/src/coordination/groups/compute_spares.ts
@@ -2,13 +2,15 @@
 const HOSTS_PER_SQUARED_SPARE = 2;
 
 /**
- * Returns how many hosts of a fabric domain are kept as spares for lost members: 2 of 8,
- * 3 of 27, 4 of 37. Spares cover the losses until groups are repaired. These grow with
- * the square root of the number of hosts, so a proportional reserve would leave hosts
- * of a large domain idle while its groups are overloaded.
+ * Returns how many hosts of a fabric domain are kept as spares for lost members. Spares
+ * cover the losses until groups are repaired. These grow with the square root of the
+ * number of hosts, so a proportional reserve would leave hosts of a large domain idle
+ * while its groups are overloaded.
  *
  * @example
- * const spares = computeSpares(37);
+ * computeSpares(8); // 2
+ * computeSpares(27); // 3
+ * computeSpares(37); // 4
  */
 export function computeSpares(hosts: number): number {
   return Math.floor(Math.sqrt(hosts / HOSTS_PER_SQUARED_SPARE));
