--- a/src/coordination/agreement/raft_election.ts
+++ b/src/coordination/agreement/raft_election.ts
@@ -58,8 +58,8 @@
    * Returns why a vote is refused; undefined when it is granted. Whether the candidate
    * is a voter is not checked: it counts by the candidate's own log, as this node may
    * not have received the latest voter change. With such a check, the loss of two of
-   * five disks left the quorum without a leader for 59 s. Removed voters cannot disturb
-   * the quorum, since votes are refused while there is a leader.
+   * five disks can leave the quorum without a leader (observed: for 59 s). Removed voters
+   * cannot disturb the quorum, since votes are refused while there is a leader.
    */
   private explainRefusal(
     from: string,
--- a/src/coordination/agreement/raft_node.ts
+++ b/src/coordination/agreement/raft_node.ts
@@ -105,7 +105,8 @@
   /**
    * True from the proposal of a voter change until a majority has on disk that it is
    * committed. A restarted node without that record also needs a majority of the old
-   * voters: after a loss of all power and two disks no leader could be elected.
+   * voters. If the change counted as finished earlier, a loss of all power and two disks
+   * could leave the quorum unable to elect a leader.
    */
   get isChangingVoters(): boolean {
     const {log, commitIndex, voterSets} = this.state;
--- a/src/coordination/agreement/raft_state.ts
+++ b/src/coordination/agreement/raft_state.ts
@@ -48,8 +48,8 @@
     this.now = options.now;
     // A restarted node does not know when it last heard the leader, but it was before
     // this process started. Counting from that time instead of the node's creation
-    // shortened the time to a leader after all processes were killed: 0.2 s instead of
-    // 0.7 s after the last one listened.
+    // shortens the time to a leader after all processes were killed (observed: 0.2 s
+    // instead of 0.7 s after the last one listened).
     const {startedAt = options.now, timing, random} = options;
     this.lastLeaderContactAt = startedAt;
     this.electionDeadline = Math.max(
--- a/src/coordination/groups/broken_group.ts
+++ b/src/coordination/groups/broken_group.ts
@@ -1,6 +1,6 @@
 /** Input of the repair cost model: the state of a group that lost members. */
 export interface BrokenGroup {
-  /** Time since the lost member that was heard last has been heard. */
+  /** Time since any of the lost members was last heard. */
   readonly silentMs: number;
   /** A lost member is back as a new process, so the old one will not return. */
   readonly hasRestarted: boolean;
--- a/src/coordination/groups/plan_consolidation.ts
+++ b/src/coordination/groups/plan_consolidation.ts
@@ -37,7 +37,7 @@
   return [{type: 'end-group', name, epoch, reason, isMove: true}];
 }
 
-/** Checks whether an saturated model has no other group: it would not be served while this one slowly drains. */
+/** Checks whether a saturated model has no other group: it would not be served while this one slowly drains. */
 function isNeeded(
   {name, model}: EngineGroup,
   {groups, isSaturated}: EnginePlanInput,
--- a/src/coordination/groups/plan_rebalance.ts
+++ b/src/coordination/groups/plan_rebalance.ts
@@ -158,7 +158,7 @@
   ).length;
 }
 
-/** Checks whether a group's model has more groups than desired, or less need than an saturated model. */
+/** Checks whether a group's model has more groups than desired, or less need than a saturated model. */
 function canDonate(
   group: EngineGroup,
   donors: readonly EngineGroup[],
--- a/src/coordination/groups/share_adjuster.ts
+++ b/src/coordination/groups/share_adjuster.ts
@@ -15,8 +15,8 @@
 const MIN_SHIFT_COST = 1;
 /** With fewer groups, the next loss would leave a model without any. */
 const MIN_GROUPS = 2;
-/** A shift may have to be reverted, so it must pay for both moves. */
-const MOVES_TO_PAY = 2;
+/** A shift may have to be reverted, so its cost includes both moves. */
+const MOVES_PER_SHIFT = 2;
 /** Longest interval between two updates that counts; a demand sample says nothing about a longer one. */
 const MAX_STEP_MS = 1_000;
 /** Time after which a shift no longer ends groups; longer than a group takes to open, shorter than a load. */
@@ -158,20 +158,20 @@
     }
   }
 
-  /** Finds the shift with the highest gain among those that are worth their cost. */
+  /** Finds the shift with the highest gain among those whose absence made more answers late than they would. */
   private findBestShift(view: UpdateInput, stepMs: number): Shift | undefined {
     const lateNow = computeLateOfView(view);
-    const worthwhile = listShifts(view).flatMap(shift => {
+    const justified = listShifts(view).flatMap(shift => {
       const gain = lateNow - computeLateOfView({...view, ...shift});
       const before = this.missed.get(shift.key) ?? 0;
       const missed = Math.max(0, before + (gain * stepMs) / MS_PER_SECOND);
       this.missed.set(shift.key, missed);
-      const isWorthIt = gain > 0 && missed > computeShiftCost(shift, view);
-      return isWorthIt && view.canRebalance(shift.profile, shift.to.name)
+      const isJustified = gain > 0 && missed > computeShiftCost(shift, view);
+      return isJustified && view.canRebalance(shift.profile, shift.to.name)
         ? [{shift, gain}]
         : [];
     });
-    return worthwhile.sort((left, right) => right.gain - left.gain)[0]?.shift;
+    return justified.sort((left, right) => right.gain - left.gain)[0]?.shift;
   }
 
   /** Returns the model of the pending move. A move may wait for a forming group, but only for a limited time. */
@@ -264,7 +264,7 @@
     computeLatePerSecond(profile, demand, duringMove) -
     computeLatePerSecond(profile, demand, desiredGroups);
   const seconds = (to.warmMs + profile.openMs) / MS_PER_SECOND;
-  return MOVES_TO_PAY * Math.max(MIN_SHIFT_COST, seconds * lostPerSecond);
+  return MOVES_PER_SHIFT * Math.max(MIN_SHIFT_COST, seconds * lostPerSecond);
 }
 
 function computeLateOfView({profile, domains, demand}: UpdateInput): number {
--- a/src/coordination/requests/attempt_tracker.ts
+++ b/src/coordination/requests/attempt_tracker.ts
@@ -1,7 +1,7 @@
 /** Attempts that were sent to a host process, and how they ended. */
 import {RequestOutcome} from '../../protocol/request_outcome';
 
-/** Far longer than any start-by time, so that no delayed frame outlives its tombstone. */
+/** Far longer than any start-by time, so that an attempt is still known when a delayed frame for it arrives. */
 const RETENTION_MS = 10 * 60_000;
 
 /** State of one attempt. */
--- a/src/coordination/requests/check_dispatch.ts
+++ b/src/coordination/requests/check_dispatch.ts
@@ -56,7 +56,7 @@
 ];
 
 /**
- * Runs the checks in order, those first that refuse most definitely. A pure function.
+ * Runs the checks in order, from lasting reasons of a refusal to temporary ones. A pure function.
  *
  * @returns the reason of the refusal, or undefined if the request may start
  * @example
--- a/src/coordination/requests/decide_crash_verdict.ts
+++ b/src/coordination/requests/decide_crash_verdict.ts
@@ -4,7 +4,7 @@
 
 /** Crashes that convict a request if no others happened near: two unrelated ones rarely hit the same request. */
 const MIN_CRASHES = 2;
-/** The same while other backend servers crash, too: three in a row, each in a trial of its ownCrashes. */
+/** The same while other backend servers crash, too: three in a row, each in a trial of its own. */
 const MIN_CORRELATED_CRASHES = 3;
 /** The same if the response had started each time, as it has for most requests that are not the cause. */
 const MIN_CRASHES_AFTER_START = 3;
