--- a/src/control/encoded_rules_cache.ts
+++ b/src/control/encoded_rules_cache.ts
@@ -3,8 +3,8 @@
 
 /**
  * Caches the encoded form of the newest rules. Encoding 1,400 routes separately for each
- * of 36 gateways blocked the leader's event loop for half a second after each change, and
- * three changes cost it the leadership.
+ * of 36 gateways can block the leader's event loop for half a second after each change,
+ * and three changes can cost it the leadership.
  */
 export class EncodedRulesCache {
   private rules: GatewayRules | undefined;
--- a/src/control/quorum_manager.ts
+++ b/src/control/quorum_manager.ts
@@ -79,9 +79,9 @@
   }
 
   /**
-   * Connects to every voter in the log. When restarted processes connected to the
-   * seeds only, three of five voters could not elect a leader after the disks of two
-   * seeds were lost.
+   * Connects to every voter in the log. If restarted processes connected to the seeds
+   * only, three of five voters could not elect a leader after a loss of the disks of two
+   * seeds.
    */
   connectVoters(): void {
     const peers = this.options.findRuntime()?.raft.others ?? [];
