--- a/src/gateway/create_backend_signals.ts
+++ b/src/gateway/create_backend_signals.ts
@@ -16,7 +16,8 @@
 
 /**
  * Creates the signals of a gateway that requests permits from the control
- * plane. Waits no longer for a permit than it could be used.
+ * plane. A request for a permit is abandoned after the time within which the
+ * permit could be used.
  *
  * @example
  * const signals = createBackendSignals({gatewayId, client, events, reportNow});
--- a/src/gateway/proxied_request.ts
+++ b/src/gateway/proxied_request.ts
@@ -15,7 +15,7 @@
 import {StallDetector} from './stall_detector';
 import {SuspectTrial} from './suspect_trial';
 
-/** Sent to the caller as the reason why the request is rejected for good. */
+/** Sent to the caller as the reason why the request is permanently rejected. */
 const CONVICTED_REASON =
   'backend servers end when they begin this request: it is not sent again';
 
